--- a/Makefile
+++ b/Makefile
@@ -7,7 +7,7 @@
 PYTEST_OPTIONS ?=
 PYTEST_JOBS ?= 4
 
-.PHONY: help venv test lint format demo cluster faults bench-relay bench-recovery bench-control bench-slopes scenarios bench-policy bench-peak bench-nodes bench-planned-stop bench-load platform-demo soak
+.PHONY: help venv test lint format demo cluster faults bench-relay bench-recovery bench-control bench-slopes scenarios bench-policy bench-peak bench-nodes bench-planned-stop bench-load platform-demo soak mixed-builds
 
 help:
 	@echo "make venv    make $(VENV) from requirements.lock and install the programs there"
@@ -18,6 +18,7 @@
 	@echo "make faults SEED=7      run one seed again, with its decision log"
 	@echo "make platform-demo      the users' platform on loopback: stand-ins, three nodes, callers"
 	@echo "make soak SEED=7 | SEEDS=5 MINUTES=3   node processes on loopback under faults from outside"
+	@echo "make mixed-builds OLD=DIR NEW=DIR   processes of two checkouts work together; minutes"
 	@echo "make bench-peak         admission, waiting and placement at the worst load; minutes"
 	@echo "make bench-nodes        what knowing of each other costs 7 to 91 gateways; minutes"
 	@echo "make bench-planned-stop   what callers get while nodes stop in series, by way; minutes"
@@ -86,6 +87,9 @@
 soak: venv
 	@$(BIN)/python scripts/soak.py $(SEEDS_OF_SOAK)
 
+mixed-builds: venv
+	@$(BIN)/python scripts/mixed_builds.py $(OLD) $(NEW)
+
 bench-nodes: venv
 	@$(BIN)/python benchmarks/gateway_nodes.py
 
