--- a/benchmarks/limit_costs.py
+++ b/benchmarks/limit_costs.py
@@ -48,8 +48,8 @@
     )
     node = owner_of(key, nodes)
     owner = LimitOwner(node, SimpleNamespace(), source, Handlers(), settle_s=0.0)
-    owner.views.views.clear()
-    owner.views.views.append((trio.current_time(), nodes))
+    owner.memberships.memberships.clear()
+    owner.memberships.memberships.append((trio.current_time(), nodes))
     return owner
 
 
@@ -75,7 +75,7 @@
     started_s = time.process_time()
     for number in range(ROUNDS):
         ask = new_ask(key, nodes[number % size].name, number + 1)
-        grant = await owner.handle_ask(ask, link)
+        grant = await owner.handle_budget_request(ask, link)
     if not grant.is_owner:
         raise RuntimeError("the owner did not grant")
     return (time.process_time() - started_s) / ROUNDS * 1e6
@@ -91,7 +91,7 @@
     for number in range(BUDGETS):
         key = LimitKey(f"customer-{number}", "kit-assistant")
         for entry in range(entries):
-            await owner.handle_ask(new_ask(key, f"zone-0-{entry}", 1), link)
+            await owner.handle_budget_request(new_ask(key, f"zone-0-{entry}", 1), link)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (after - before) / len(owner.budgets)
--- a/benchmarks/planned_stop.py
+++ b/benchmarks/planned_stop.py
@@ -18,7 +18,7 @@
 
 import rosemaryknot.process.planned_stop as stop_module
 from rosemaryknot.replay.virtual_time import DecisionLog, run_in_virtual_time
-from rosemaryknot.request.gateway_entry import STOP_ADMISSION
+from rosemaryknot.request.gateway_request_admission import SHUTDOWN_ADMISSION_RULE
 from rosemaryknot.request.stop_admission import NOT_BOUND, STOP_ADMISSIONS
 from rosemaryknot.standin.users.system import Answer, Caller
 
@@ -28,7 +28,7 @@
 RATE = 36.0
 BURST_S, BURST_FACTOR = (5.0, 11.0), 1.9
 KEPT_SHARE, KEPT_S = 0.5, 3.0
-RETRIES, LEAST_LEFT_S, RETRY_SHARE = 1, 0.1, 1 / 3
+RETRIES, MIN_REMAINING_S, RETRY_SHARE = 1, 0.1, 1 / 3
 RESERVES_S = (0.3, 1.2)
 OK, REFUSED = 200, (429, 503)
 FIGURES = (
@@ -101,7 +101,7 @@
         self, kind: Kind, answer: Answer, before_s: float, took_s: float, is_late: bool
     ) -> None:
         """Count how a request ended; a late one was sent to a node that stops."""
-        is_overdue = took_s >= kind.limit_s - LEAST_LEFT_S
+        is_overdue = took_s >= kind.limit_s - MIN_REMAINING_S
         first_s = before_s + answer.first_s
         if answer.status in REFUSED:
             self.counts["refused_for_good"] += 1
@@ -235,7 +235,7 @@
     reserves = {}
     if options.reserves:
         for other_s in RESERVES_S:
-            reserves[other_s] = measure(seeds, STOP_ADMISSION, other_s)
+            reserves[other_s] = measure(seeds, SHUTDOWN_ADMISSION_RULE, other_s)
     print(json.dumps({"ways": found, "reserves": reserves, "seeds": seeds}))
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -337,7 +337,7 @@
             name = f"estimator-{number}"
             ask = BudgetAsk(name, "kit-assistant", "waco-a-1", 1, sequence)
             ask.needed_tokens, ask.needed_slots = 100.0, 1
-            answer = await owner.handle_ask(ask, link)
+            answer = await owner.handle_budget_request(ask, link)
             sizes.append(len(encode_message(ask)) + len(encode_message(answer)))
         took.append((time.process_time() - start_s) / CUSTOMERS * 1e6)
     return {
--- a/benchmarks/stop_deployment.py
+++ b/benchmarks/stop_deployment.py
@@ -96,7 +96,7 @@
     async def add_node(self, number: int, **options: object) -> GatewayNode:
         """Start a node with the way that is measured."""
         node = await super().add_node(number, **options)
-        node.gateway.entry.admit_in_stop = STOP_ADMISSIONS[self.way]
+        node.gateway.entry.decide_during_shutdown = STOP_ADMISSIONS[self.way]
         name, end = node.settings.node, node.end
         self.ends[name] = ended = trio.Event()
 
--- a/src/rosemaryknot/process/agent.py
+++ b/src/rosemaryknot/process/agent.py
@@ -23,13 +23,13 @@
     keep_entry_current,
     register_configuration_handlers,
 )
-from rosemaryknot.process.limits.ended_nodes import EndedNodes
+from rosemaryknot.process.limits.live_limits import LiveLimits
 from rosemaryknot.process.limits.owner import LimitOwner
-from rosemaryknot.process.limits.source import LiveLimits
+from rosemaryknot.process.limits.stopped_nodes import StoppedNodes
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.peer_metrics import PeerMetrics
 from rosemaryknot.process.peers import PeerSet
-from rosemaryknot.process.placement.keeper import PlacementKeeper
+from rosemaryknot.process.placement.manager import PlacementManager
 from rosemaryknot.process.platform_watch import PlatformWatch
 from rosemaryknot.process.safeguards import Safeguards
 from rosemaryknot.process.servers import ServerTable
@@ -101,7 +101,7 @@
         Copies of model requests that other nodes relay.
     limits : LimitOwner
         Budgets of the customers' limits.
-    placement : PlacementKeeper
+    placement : PlacementManager
         Placement leases, and the duty of those that this node holds.
     """
 
@@ -207,13 +207,15 @@
 
     def add_limits(self) -> None:
         """Put the parts about the customers' limits together."""
-        self.ended_nodes = EndedNodes(self.peers, self.platform)
-        source = LiveLimits(self.holder, self.peers, self.ended_nodes.has_ended)
+        self.ended_nodes = StoppedNodes(self.peers, self.platform)
+        source = LiveLimits(
+            self.holder, self.peers, self.ended_nodes.is_confirmed_stopped
+        )
         self.limits = LimitOwner(self.node, self.peers, source, self.handlers)
 
     def add_placement(self) -> None:
         """Put the parts about placement together."""
-        self.placement = PlacementKeeper(
+        self.placement = PlacementManager(
             self.node,
             self.peers.nodes,
             lambda: placement_targets(self.holder.view),
--- a/src/rosemaryknot/process/attempt_budget.py
+++ b/src/rosemaryknot/process/attempt_budget.py
@@ -55,7 +55,7 @@
         self.most_nodes = LEAST_NODES
         self.most_s = float("-inf")
 
-    def note_request(self, service: str, now_s: float) -> None:
+    def record_request(self, service: str, now_s: float) -> None:
         """Count a request."""
         self.counted_nodes(now_s)
         self.drop_old(self.requests[service], now_s)
--- a/src/rosemaryknot/process/limits/bucket.py
+++ b/src/rosemaryknot/process/limits/bucket.py
@@ -1,4 +1,4 @@
-"""A bucket of tokens that fills at a rate."""
+"""Token bucket with debt."""
 
 import math
 
@@ -6,40 +6,40 @@
 
 
 class Bucket:
-    """Tokens that accrue at a rate up to a capacity.
+    """Token bucket that refills at a constant rate up to a capacity.
 
-    Any one charge is admitted once the bucket holds as much as it can, even when the
-    charge is larger; the rest becomes a debt that is paid before anything else. A
-    small limit would otherwise refuse its larger requests for ever.
+    A charge larger than the capacity is admitted once the bucket is full. The excess
+    becomes a debt that is repaid before any other charge is admitted. Otherwise a
+    small limit would refuse its larger requests indefinitely.
 
     Parameters
     ----------
     rate : float
-        Tokens a second; infinite where nothing is limited.
+        Tokens per second; infinite if not limited.
     capacity : float
-        Most tokens that accrue.
+        Maximum number of tokens that accrue.
     balance : float
-        Tokens at the start; negative for a debt.
+        Initial number of tokens; negative for a debt.
     now_s : float
-        Time of the start.
+        Current time.
 
     Attributes
     ----------
     rate, capacity, balance
-        As the parameters.
-    filled_s : float
-        Time up to which tokens have accrued.
+        Same as the parameters; ``balance`` is the current value.
+    refilled_s : float
+        Time up to which accrued tokens have been added.
 
     Examples
     --------
     >>> bucket = Bucket(rate=10, capacity=10, balance=10, now_s=0)
-    >>> bucket.take(25), bucket.balance
+    >>> bucket.acquire(25), bucket.balance
     (True, -15)
-    >>> bucket.take(1), bucket.wait_s(1)
+    >>> bucket.acquire(1), bucket.wait_s(1)
     (False, 1.6)
     """
 
-    __slots__ = ("rate", "capacity", "balance", "filled_s")
+    __slots__ = ("rate", "capacity", "balance", "refilled_s")
 
     def __init__(
         self, rate: float, capacity: float, balance: float, now_s: float
@@ -47,64 +47,66 @@
         self.rate = rate
         self.capacity = capacity
         self.balance = balance
-        self.filled_s = now_s
+        self.refilled_s = now_s
 
-    def fill(self, now_s: float, held: float = 0.0) -> None:
-        """Let tokens accrue.
+    def refill(self, now_s: float, leased_tokens: float = 0.0) -> None:
+        """Add the tokens accrued since the last call.
 
         Parameters
         ----------
         now_s : float
-            The time.
-        held : float
-            Tokens on lease: they count as if they were still in the bucket, or
-            each lease would add to the burst that the capacity bounds.
+            Current time.
+        leased_tokens : float
+            Tokens on lease. They count as if they were still in the bucket, because
+            otherwise each lease would add to the burst that the capacity bounds.
         """
-        passed_s = max(0.0, now_s - self.filled_s)
-        self.filled_s = max(self.filled_s, now_s)
+        elapsed_s = max(0.0, now_s - self.refilled_s)
+        self.refilled_s = max(self.refilled_s, now_s)
         if math.isinf(self.rate):
             self.balance = math.inf
             return
-        room = max(self.balance, self.capacity - held)
-        self.balance = min(room, self.balance + passed_s * self.rate)
+        max_balance = max(self.balance, self.capacity - leased_tokens)
+        self.balance = min(max_balance, self.balance + elapsed_s * self.rate)
 
-    def give_back(self, tokens: float) -> None:
-        """Take tokens back, or charge more where they are negative."""
-        room = max(self.balance, self.capacity)
-        self.balance = min(room, self.balance + tokens)
+    def release(self, tokens: float) -> None:
+        """Return tokens to the bucket, or charge more if the number is negative."""
+        max_balance = max(self.balance, self.capacity)
+        self.balance = min(max_balance, self.balance + tokens)
 
-    def take(self, tokens: float, held: float = 0.0) -> bool:
-        """Take tokens; False, and nothing taken, where there are too few."""
-        if self.balance < self.needed(tokens, held):
+    def acquire(self, tokens: float, leased_tokens: float = 0.0) -> bool:
+        """Withdraw tokens; return False and withdraw nothing if there are too few."""
+        if self.balance < self.needed(tokens, leased_tokens):
             return False
         self.balance -= tokens
         return True
 
-    def needed(self, tokens: float, held: float = 0.0) -> float:
-        """Return the balance at which as many tokens can be taken.
+    def needed(self, tokens: float, leased_tokens: float = 0.0) -> float:
+        """Return the balance at which a number of tokens can be acquired.
 
         Parameters
         ----------
         tokens : float
-            Tokens to take.
-        held : float
-            Tokens on lease, which the bucket is short of when it is full.
+            Tokens to acquire.
+        leased_tokens : float
+            Tokens on lease, which reduce the balance of a full bucket.
         """
-        return min(tokens, max(0.0, self.capacity - held))
+        return min(tokens, max(0.0, self.capacity - leased_tokens))
 
-    def wait_s(self, tokens: float, held: float = 0.0, ahead: float = 0.0) -> float:
-        """Return the time until as many tokens can be taken, in seconds.
+    def wait_s(
+        self, tokens: float, leased_tokens: float = 0.0, tokens_ahead: float = 0.0
+    ) -> float:
+        """Return the time until a number of tokens can be acquired, in seconds.
 
         Parameters
         ----------
         tokens : float
-            Tokens to take.
-        held : float
+            Tokens to acquire.
+        leased_tokens : float
             Tokens on lease.
-        ahead : float
-            Tokens that others will take before.
+        tokens_ahead : float
+            Tokens needed by the requests queued ahead.
         """
-        missing = ahead + self.needed(tokens, held) - self.balance
+        missing = tokens_ahead + self.needed(tokens, leased_tokens) - self.balance
         if missing <= 0:
             return 0.0
         return missing / self.rate if self.rate > 0 else float("inf")
--- a/src/rosemaryknot/process/limits/source.py
+++ b/src/rosemaryknot/process/limits/live_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the configuration in force, and members by the peers."""
+"""Limits of the current configuration and members of zones for limit owners."""
 
 from collections.abc import Callable
 
@@ -12,45 +12,46 @@
 
 __all__ = ["LiveLimits"]
 
-KEPT_S = 0.25
+CACHE_TTL_S = 0.25
 
 
 class LiveLimits:
-    """What the owners of limits need of a running agent.
+    """Provides the limits and zone members of a running agent to limit owners.
 
     Parameters
     ----------
     holder : ConfigurationHolder
-        Configuration in force.
+        Holder of the current configuration.
     peers : PeerSet
-        The other nodes.
-    has_ended : callable
-        Tells of a node's record whether the platform has confirmed its end.
+        Other nodes known to this node.
+    is_confirmed_stopped : callable
+        Returns whether the platform has confirmed that the node of a record is
+        terminated.
     """
 
     def __init__(
         self,
         holder: ConfigurationHolder,
         peers: PeerSet,
-        has_ended: Callable[[PeerRecord], bool],
+        is_confirmed_stopped: Callable[[PeerRecord], bool],
     ) -> None:
         self.holder = holder
         self.peers = peers
-        self.has_ended = has_ended
-        self.kept: dict[str, ZoneMembers] = {}
-        self.kept_as_of = (-1, 0.0)
+        self.is_confirmed_stopped = is_confirmed_stopped
+        self.cached_members: dict[str, ZoneMembers] = {}
+        self.cache_version = (-1, 0.0)
 
     def limit(self, key: LimitKey) -> Limit:
-        """Return the whole limit by the configuration in force."""
+        """Return the limit over all zones in the current configuration."""
         view = self.holder.view
         customer = None if view is None else view.customers.get(key.customer)
         return UNLIMITED if customer is None else customer.limit_for(key.service)
 
     def zones(self) -> list[str]:
-        """Return the zones among which a limit is shared.
+        """Return the zones that share a limit.
 
-        They come from the configuration, since a node in a zone that is cut off
-        would take the whole limit for its own if it counted the zones it sees.
+        They are taken from the configuration. If a node counted the zones that it can
+        reach, a node in a partitioned zone would grant the whole limit.
         """
         view = self.holder.view
         placements = {} if view is None else view.placements
@@ -58,27 +59,27 @@
         return sorted(placed or self.known_zones())
 
     def known_zones(self) -> set[str]:
-        """Return the zones of all nodes that are known."""
+        """Return the zones of all known nodes."""
         records = self.peers.table.records.values()
         return {self.peers.node.zone} | {record.zone for record in records}
 
     def members(self, zone: str) -> ZoneMembers:
-        """Return our nodes of a zone.
+        """Return the nodes of a zone.
 
-        They are worked out anew a few times a second, and when a node comes or goes:
-        with many nodes it would take longer than all the rest of an ask.
+        The result is cached for ``CACHE_TTL_S`` and until a node joins or leaves. With
+        many nodes, computing it takes longer than the rest of a budget request.
         """
-        changes, kept_s = self.kept_as_of
+        changes, cached_s = self.cache_version
         now_s = trio.current_time()
-        if changes != self.peers.changes or now_s - kept_s > KEPT_S:
-            self.kept.clear()
-            self.kept_as_of = (self.peers.changes, now_s)
-        if zone not in self.kept:
-            self.kept[zone] = self.find_members(zone)
-        return self.kept[zone]
+        if changes != self.peers.changes or now_s - cached_s > CACHE_TTL_S:
+            self.cached_members.clear()
+            self.cache_version = (self.peers.changes, now_s)
+        if zone not in self.cached_members:
+            self.cached_members[zone] = self.find_members(zone)
+        return self.cached_members[zone]
 
     def find_members(self, zone: str) -> ZoneMembers:
-        """Work out our nodes of a zone."""
+        """Compute the nodes of a zone."""
         own = self.peers.node
         live = {node.name: node for node in self.peers.nodes() if node.zone == zone}
         if own.zone == zone:
@@ -86,11 +87,11 @@
         known = {
             record.name
             for record in self.peers.table.records.values()
-            if record.zone == zone and self.may_live(record)
+            if record.zone == zone and self.may_be_running(record)
         }
         ordered = tuple(live[name] for name in sorted(live))
         return ZoneMembers(ordered, len(known | set(live)))
 
-    def may_live(self, record: PeerRecord) -> bool:
-        """Tell whether a node that is not seen may still grant."""
-        return record.state != PeerState.LEFT and not self.has_ended(record)
+    def may_be_running(self, record: PeerRecord) -> bool:
+        """Return whether a node that is not visible may still grant budget."""
+        return record.state != PeerState.LEFT and not self.is_confirmed_stopped(record)
--- a/src/rosemaryknot/process/limits/owner.py
+++ b/src/rosemaryknot/process/limits/owner.py
@@ -1,4 +1,9 @@
-"""The agent's part in the limits: leases to entries, transfers between zones."""
+"""Owner of limits: grants leases to entries and transfers budget between zones.
+
+Each limit has one owner among the agents of each zone. The owner leases tokens and
+slots of the zone's share to the entry processes. Nodes that are not the owner forward
+the budget requests of their entries to it.
+"""
 
 import math
 from collections.abc import Callable
@@ -10,8 +15,8 @@
 from rosemaryknot.process.limits.budget import LEASE_S, Budget, EntryLease
 from rosemaryknot.process.limits.shares import (
     LimitKey,
+    MembershipHistory,
     ZoneMembers,
-    ZoneViews,
     owner_of,
     slot_share,
 )
@@ -27,9 +32,9 @@
 
 SETTLE_S = 5.0
 TICK_S = 0.5
-PAUSE_S = 2.0
+PAUSE_THRESHOLD_S = 2.0
 FORWARD_TIMEOUT_S = 0.2
-IDLE_S = 120.0
+IDLE_TTL_S = 120.0
 FALLBACK_SHARE = 0.1
 MAX_BUDGETS = 10_000
 
@@ -38,55 +43,58 @@
 
 
 class Peers(Protocol):
-    """What is needed of the other nodes."""
+    """Interface for calls to other nodes."""
 
     async def call(
         self, name: str, value: Message, timeout_s: float
     ) -> Message | CallFailed:
-        """Call a node."""
+        """Send a message to a node and return the response."""
 
 
 class LimitSource(Protocol):
-    """What is needed of configuration and membership."""
+    """Interface to the configured limits and the membership of zones."""
 
     def limit(self, key: LimitKey) -> Limit:
-        """Return the whole limit by the configuration in force."""
+        """Return the limit over all zones in the current configuration."""
 
     def zones(self) -> list[str]:
-        """Return the zones among which a limit is shared."""
+        """Return the zones that share a limit."""
 
     def members(self, zone: str) -> ZoneMembers:
-        """Return our nodes of a zone."""
+        """Return the nodes of a zone."""
 
 
 class LimitOwner:
-    """Grants budget where this node is the owner, and passes asks on where not.
+    """Grants budget of owned limits and forwards budget requests for others.
 
     Parameters
     ----------
     node : Node
         This node.
     peers : Peers
-        The other nodes.
+        Interface for calls to other nodes.
     source : LimitSource
-        Limits and members.
+        Configured limits and members of zones.
     handlers : Handlers
-        Handlers of the agent's links; this class adds its own kinds.
+        Handlers of the agent's links; this class registers its message types.
     settle_s : float
-        How long a new owner waits; 0 only in tests that show what it prevents.
+        Time that a new owner waits before it grants. Only tests that demonstrate
+        the need for the wait use 0.
     clock : callable
-        Returns the time in seconds.
+        Returns the current time in seconds.
 
     Attributes
     ----------
     budgets : dict of LimitKey to Budget
-        Budgets that this node grants.
-    views : ZoneViews
-        Membership of the zone, lately.
+        Budgets owned by this node.
+    memberships : MembershipHistory
+        Recent memberships of the zone.
     owners : dict of LimitKey to str
-        Owners among the nodes that were seen last; empty text for none.
+        Cached owners for ``owners_members``; an empty string means no owner.
+    owners_members : tuple of Node
+        Live nodes of the zone for which ``owners`` is valid.
     transfers : Transfers
-        Moves budget between zones.
+        Transfers of budget between zones.
     """
 
     def __init__(
@@ -103,55 +111,59 @@
         self.source = source
         self.clock = clock
         self.budgets: dict[LimitKey, Budget] = {}
-        self.views = ZoneViews(node.name, settle_s, clock())
-        self.ticked_s = clock()
+        self.memberships = MembershipHistory(node.name, settle_s, clock())
+        self.last_tick_s = clock()
         self.owners: dict[LimitKey, str] = {}
-        self.owners_of: tuple[Node, ...] = ()
-        handlers.on(BudgetAsk)(self.handle_ask)
+        self.owners_members: tuple[Node, ...] = ()
+        handlers.on(BudgetAsk)(self.handle_budget_request)
         self.transfers = Transfers(self, handlers)
 
     async def run(self) -> None:
-        """Follow the membership until cancelled."""
+        """Refresh membership, evict idle budgets and renew loans until cancelled."""
         while True:
-            self.look()
-            self.forget_idle()
+            self.refresh_members()
+            self.evict_idle()
             await self.transfers.renew()
             await trio.sleep(TICK_S)
 
-    def look(self) -> ZoneMembers:
-        """Note who is in the zone now, and whether this process was paused."""
+    def refresh_members(self) -> ZoneMembers:
+        """Record the current members of the zone and detect pauses of this process."""
         now_s = self.clock()
         members = self.source.members(self.node.zone)
-        if now_s - self.ticked_s > PAUSE_S:
-            # A paused owner wakes up and believes that it still is one, while the
-            # zone has had another for long: both would grant.
-            log.warning("paused; waiting like a new owner")
-            self.views.forget(members.live, now_s)
+        if now_s - self.last_tick_s > PAUSE_THRESHOLD_S:
+            # An owner that resumes after a pause still considers itself the owner,
+            # but the zone may have chosen another one meanwhile: both would grant.
+            log.warning("process was paused; waiting to settle as a new owner")
+            self.memberships.reset(members.live, now_s)
         else:
-            self.views.note(members.live, now_s)
-        self.ticked_s = now_s
-        if members.live != self.owners_of or len(self.owners) > MAX_BUDGETS:
-            self.owners_of = members.live
+            self.memberships.record(members.live, now_s)
+        self.last_tick_s = now_s
+        if members.live != self.owners_members or len(self.owners) > MAX_BUDGETS:
+            self.owners_members = members.live
             self.owners.clear()
         return members
 
-    def forget_idle(self) -> None:
-        """Drop the budgets of customers that send nothing.
+    def evict_idle(self) -> None:
+        """Evict the budgets of customers that send no requests.
 
-        One with a debt is kept until it is paid: a new budget would start full.
+        A budget with a debt is kept until the debt is repaid, because a new budget
+        would start full.
         """
         now_s = self.clock()
         for key, budget in list(self.budgets.items()):
-            kept_s = IDLE_S + budget.bucket.wait_s(0.0)
-            if now_s - budget.touched_s > kept_s and not budget.lent:
+            ttl_s = IDLE_TTL_S + budget.bucket.wait_s(0.0)
+            if now_s - budget.last_used_s > ttl_s and not budget.lent:
                 del self.budgets[key]
 
     def is_owner(self, key: LimitKey, members: ZoneMembers) -> bool:
-        """Tell whether this node grants a limit, by what it knows."""
+        """Return whether this node is the owner of a limit for these members."""
         return self.owner(key, members) == self.node.name
 
     def owner(self, key: LimitKey, members: ZoneMembers) -> str:
-        """Return the node that grants a limit; members are those of the last look."""
+        """Return the name of the owner of a limit, or an empty string.
+
+        The members must be those of the last call of `refresh_members`.
+        """
         name = self.owners.get(key)
         if name is None:
             owner = owner_of(key, members.live)
@@ -159,9 +171,12 @@
         return name
 
     def budget(self, key: LimitKey, members: ZoneMembers) -> Budget | None:
-        """Return a budget with what has accrued; None where this node may not grant."""
+        """Return the refilled budget of a limit, or None if there are too many budgets.
+
+        Tokens accrue only while this node is a settled owner.
+        """
         now_s = self.clock()
-        is_settled = self.views.is_settled(key)
+        is_settled = self.memberships.is_settled(key)
         rate, slots = self.zone_limit(key, members)
         budget = self.budgets.get(key)
         if budget is None:
@@ -169,99 +184,105 @@
                 return None
             budget = self.budgets[key] = Budget(rate, slots, is_settled, now_s)
         elif not is_settled:
-            budget.hold_back(now_s)
+            budget.suspend_accrual(now_s)
         if (rate, slots) != (budget.bucket.rate, budget.slots):
             budget.resize(rate, slots, now_s)
-        budget.fill(now_s) if is_settled else budget.hold_back(now_s)
+        budget.refill(now_s) if is_settled else budget.suspend_accrual(now_s)
         return budget
 
     def zone_limit(self, key: LimitKey, members: ZoneMembers) -> tuple[float, float]:
-        """Return this zone's tokens a second and slots, for this part of the zone."""
+        """Return the tokens per second and slots that this owner may grant.
+
+        They are the zone's share of the limit, reduced to the share of the zone's
+        nodes that are visible to this node.
+        """
         limit = self.source.limit(key)
         zones = sorted(self.source.zones())
         zone = self.node.zone
-        present = members.present_share
-        share = present / len(zones) if zone in zones else 0.0
+        present_share = members.present_share
+        share = present_share / len(zones) if zone in zones else 0.0
         rate, slots = limit.tokens_per_minute / 60, limit.concurrent_requests
         if not math.isinf(rate):
             rate *= share
         if not math.isinf(slots):
-            slots = int(slot_share(key, slots, zone, zones) * present)
+            slots = int(slot_share(key, slots, zone, zones) * present_share)
         return rate, slots
 
     def fallback_share(self, members: ZoneMembers) -> float:
-        """Return the share of a limit that each entry has without an owner."""
+        """Return the share of a limit that each entry may use without an owner."""
         zones = max(1, len(self.source.zones()))
         return FALLBACK_SHARE / zones / max(1, members.known, len(members.live))
 
-    # Asks of entries
+    # Budget requests from entries.
 
-    async def handle_ask(self, ask: BudgetAsk, link: MessageLink) -> BudgetGrant:
-        """Answer an ask, here or by the owner."""
+    async def handle_budget_request(
+        self, ask: BudgetAsk, link: MessageLink
+    ) -> BudgetGrant:
+        """Grant a budget request, or forward it to the owner if from an entry."""
         key = LimitKey(ask.customer, ask.service)
-        members = self.look()
+        members = self.refresh_members()
         if self.is_owner(key, members):
             return await self.grant(key, ask, members)
         if link.hello.role == "entry":
-            return await self.pass_on(key, ask, members)
+            return await self.forward(key, ask, members)
         return BudgetGrant(False, fallback_share=self.fallback_share(members))
 
-    async def pass_on(
+    async def forward(
         self, key: LimitKey, ask: BudgetAsk, members: ZoneMembers
     ) -> BudgetGrant:
-        """Ask the owner for an entry of this node."""
+        """Forward the budget request of a local entry to the owner."""
         owner = self.owner(key, members)
         if owner:
-            answer = await self.peers.call(owner, ask, FORWARD_TIMEOUT_S)
-            if isinstance(answer, BudgetGrant):
-                return answer
+            response = await self.peers.call(owner, ask, FORWARD_TIMEOUT_S)
+            if isinstance(response, BudgetGrant):
+                return response
         return BudgetGrant(False, fallback_share=self.fallback_share(members))
 
     async def grant(
         self, key: LimitKey, ask: BudgetAsk, members: ZoneMembers
     ) -> BudgetGrant:
-        """Grant what this zone has, or what other zones can spare."""
+        """Grant a budget request from this zone, or from what other zones can spare."""
         budget = self.budget(key, members)
         now_s = self.clock()
         fallback = self.fallback_share(members)
-        lease = None if budget is None else budget.take_over(ask, now_s)
-        if lease is None or not self.views.is_settled(key):
+        lease = None if budget is None else budget.apply_request(ask, now_s)
+        if lease is None or not self.memberships.is_settled(key):
             grants.add(result="not_settled" if lease else "refused")
             refusal = BudgetGrant(False, fallback_share=fallback)
             if lease is not None:
-                self.note_early(key, budget, ask, refusal)
+                self.set_early_retry(key, budget, ask, refusal)
             return refusal
         if ask.needed_tokens or ask.wanted_tokens:
-            budget.note_demand(ask.needed_tokens + ask.wanted_tokens, now_s)
+            budget.record_demand(ask.needed_tokens + ask.wanted_tokens, now_s)
         await self.transfers.fetch_missing(key, budget, ask)
-        return self.answer(budget, lease, ask, fallback)
+        return self.build_grant(budget, lease, ask, fallback)
 
-    def note_early(
+    def set_early_retry(
         self, key: LimitKey, budget: Budget, ask: BudgetAsk, refusal: BudgetGrant
     ) -> None:
-        """Tell an ask that comes before this owner may grant when it will."""
+        """Set the retry time of a budget request that arrives before settling."""
         now_s = self.clock()
-        wait_s = self.views.settled_in_s(key, now_s)
+        wait_s = self.memberships.settled_in_s(key, now_s)
         if not math.isfinite(wait_s):
             return
         wait_s += budget.retry_after_s(ask, now_s)
         lacks_slots = budget.missing_slots(ask, now_s) > 0
-        budget.keep_turn(ask, 0.0 if lacks_slots else wait_s, now_s)
+        budget.update_queue(ask, 0.0 if lacks_slots else wait_s, now_s)
         refusal.retry_after_s, refusal.lacks_slots = wait_s, lacks_slots
         refusal.rate = budget.bucket.rate
 
-    def answer(
+    def build_grant(
         self, budget: Budget, lease: EntryLease, ask: BudgetAsk, fallback: float
     ) -> BudgetGrant:
-        """Return the grant of what is there; all that is needed, or nothing."""
+        """Return a grant of all that is needed, or of nothing."""
         now_s = self.clock()
-        budget.fill(now_s)
+        budget.refill(now_s)
         retry_s = budget.retry_after_s(ask, now_s)
         rate = budget.bucket.rate
         grant = BudgetGrant(True, 0.0, 0, LEASE_S, retry_s, rate, fallback)
         grant.lacks_slots = budget.missing_slots(ask, now_s) > 0
         if ask.needed_tokens:
-            budget.keep_turn(ask, 0.0 if grant.lacks_slots else retry_s, now_s)
+            budget.update_queue(ask, 0.0 if grant.lacks_slots else retry_s, now_s)
         if retry_s == 0.0:
             grant.slots = budget.grant_slots(lease, ask, now_s)
             grant.tokens = budget.grant_tokens(lease, ask)
--- a/src/rosemaryknot/process/limits/shares.py
+++ b/src/rosemaryknot/process/limits/shares.py
@@ -1,4 +1,4 @@
-"""Which part of a limit a zone may grant, and which of its nodes grants it."""
+"""Share of a limit that a zone may grant, and selection of the limit's owner."""
 
 import math
 from collections import deque
@@ -10,19 +10,19 @@
 from rosemaryknot.process.configuration_spread import chosen_nodes
 from rosemaryknot.values.nodes import Node
 
-__all__ = ["LimitKey", "ZoneMembers", "ZoneViews", "owner_of", "slot_share"]
+__all__ = ["LimitKey", "ZoneMembers", "MembershipHistory", "owner_of", "slot_share"]
 
-MAX_KNOWN = 10_000
+MAX_CACHED_KEYS = 10_000
 
 
 @dataclass(slots=True, frozen=True)
 class LimitKey:
-    """What a limit is for.
+    """Key of a limit.
 
     Attributes
     ----------
     customer, service : str
-        The customer, and the service that it uses.
+        Customer, and service that the customer uses.
     """
 
     customer: str
@@ -30,20 +30,21 @@
 
     @property
     def duty(self) -> str:
-        """Text that the owner is chosen by."""
+        """Hash key for the selection of the owner."""
         return f"limits/{self.customer}/{self.service}"
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneMembers:
-    """Our nodes of one zone, as one node knows them.
+    """Nodes of one zone, as seen by one node.
 
     Attributes
     ----------
     live : tuple of Node
-        Those that seem to live.
+        Nodes that are considered live.
     known : int
-        Those that may live: all but the ones that left or are proved terminated.
+        Number of nodes that may be running: all except those that left or are
+        confirmed as terminated.
     """
 
     live: tuple[Node, ...] = ()
@@ -51,17 +52,17 @@
 
     @property
     def present_share(self) -> float:
-        """Share of the zone's nodes that seem to live.
+        """Share of the zone's nodes that are considered live.
 
-        When a zone's nodes lose each other, each part chooses an owner of its own.
-        All parts together must not grant more than the zone's share, so each grants
-        by the nodes that it sees of those that may live.
+        If a network partition splits a zone, each side selects its own owner. All
+        sides together must not grant more than the zone's share, so each side grants
+        in proportion to its visible nodes among those that may be running.
         """
         return len(self.live) / max(1, self.known, len(self.live))
 
 
 def owner_of(key: LimitKey, nodes: Sequence[Node]) -> Node | None:
-    """Return the node that grants a limit's budget, by rendezvous hash."""
+    """Return the owner of a limit, selected by rendezvous hashing."""
     chosen = chosen_nodes(nodes, key.duty, 1)
     return chosen[0] if chosen else None
 
@@ -72,18 +73,18 @@
     Parameters
     ----------
     key : LimitKey
-        What the limit is for; decides who gets the odd ones.
+        Key of the limit; determines which zones get the remaining slots.
     slots : float
-        The whole limit.
+        Limit over all zones.
     zone : str
-        The zone.
+        Zone of the share.
     zones : sequence of str
-        All zones.
+        All zones that share the limit.
 
     Returns
     -------
     share : int
-        The shares of all zones add up to the limit, rounded down.
+        Share of the zone. The shares of all zones add up to the limit, rounded down.
 
     Examples
     --------
@@ -93,65 +94,68 @@
     """
     if zone not in zones:
         return 0
-    least, odd = divmod(int(slots), len(zones))
+    base_share, remainder = divmod(int(slots), len(zones))
 
-    def rank(name: str) -> int:
+    def zone_hash(name: str) -> int:
         return xxhash.xxh64_intdigest(f"{key.duty}/{name}".encode())
 
-    return least + (sorted(zones, key=rank).index(zone) < odd)
+    return base_share + (sorted(zones, key=zone_hash).index(zone) < remainder)
 
 
-class ZoneViews:
-    """What this node took its zone's nodes to be, lately.
+class MembershipHistory:
+    """Recent memberships of the zone, as seen by this node.
 
-    A node that becomes an owner waits until it has been one for `settle_s`, under
-    every membership that it saw meanwhile: by then the owner before it has seen the
-    same, or its leases have run out. Without the wait both would grant the whole
-    share at once.
+    A new owner must have been the owner for `settle_s` before it grants, under every
+    membership seen in that time. By then the previous owner has seen the same
+    membership or its leases have expired. Without the wait, both would grant the
+    whole share at the same time.
 
     Parameters
     ----------
     name : str
-        This node.
+        Name of this node.
     settle_s : float
-        The wait, in seconds.
+        Time to wait before granting, in seconds.
     now_s : float
-        When the process started.
+        Start time of the process.
 
     Attributes
     ----------
-    views : deque of tuple of (float, tuple of Node)
-        Memberships with the time from which on they were seen.
+    memberships : deque of tuple of (float, tuple of Node)
+        Memberships with the time at which each was first seen.
     settled : dict of LimitKey to bool
-        Answers of `is_settled` under these views: with many nodes the hashes would
-        be most of an ask.
+        Cached results of `is_settled` for the current memberships. With many nodes,
+        hashing would otherwise take most of the time of a budget request.
     """
 
     def __init__(self, name: str, settle_s: float, now_s: float) -> None:
         self.name = name
         self.settle_s = settle_s
-        self.views: deque[tuple[float, tuple[Node, ...]]] = deque([(now_s, ())])
+        self.memberships: deque[tuple[float, tuple[Node, ...]]] = deque([(now_s, ())])
         self.settled: dict[LimitKey, bool] = {}
 
-    def note(self, live: tuple[Node, ...], now_s: float) -> None:
-        """Note the nodes that seem to live now."""
-        if self.views[-1][1] != live:
-            self.views.append((now_s, live))
+    def record(self, live: tuple[Node, ...], now_s: float) -> None:
+        """Record the nodes that are considered live now."""
+        if self.memberships[-1][1] != live:
+            self.memberships.append((now_s, live))
             self.settled.clear()
-        while len(self.views) > 1 and self.views[1][0] <= now_s - self.settle_s:
-            self.views.popleft()
+        while (
+            len(self.memberships) > 1
+            and self.memberships[1][0] <= now_s - self.settle_s
+        ):
+            self.memberships.popleft()
             self.settled.clear()
 
-    def forget(self, live: tuple[Node, ...], now_s: float) -> None:
-        """Start anew, as after a pause in which anything may have changed."""
-        self.views.clear()
-        self.views.append((now_s, ()))
-        self.note(live, now_s)
+    def reset(self, live: tuple[Node, ...], now_s: float) -> None:
+        """Restart the history, for example after a pause with unknown changes."""
+        self.memberships.clear()
+        self.memberships.append((now_s, ()))
+        self.record(live, now_s)
 
     def settled_in_s(self, key: LimitKey, now_s: float) -> float:
-        """Return when this node will have been the owner for long enough."""
+        """Return the time until this node is a settled owner, in seconds."""
         wait_s, is_own = 0.0, True
-        for since_s, live in self.views:
+        for since_s, live in self.memberships:
             if not is_own:
                 wait_s = max(0.0, since_s + self.settle_s - now_s)
             owner = owner_of(key, live)
@@ -159,12 +163,12 @@
         return wait_s if is_own else math.inf
 
     def is_settled(self, key: LimitKey) -> bool:
-        """Tell whether this node has been the owner for long enough."""
-        known = self.settled.get(key)
-        if known is None:
-            if len(self.settled) > MAX_KNOWN:
+        """Return whether this node has been the owner for at least `settle_s`."""
+        is_settled = self.settled.get(key)
+        if is_settled is None:
+            if len(self.settled) > MAX_CACHED_KEYS:
                 self.settled.clear()
-            owners = [owner_of(key, live) for _, live in self.views]
-            known = all(owner and owner.name == self.name for owner in owners)
-            self.settled[key] = known
-        return known
+            owners = [owner_of(key, live) for _, live in self.memberships]
+            is_settled = all(owner and owner.name == self.name for owner in owners)
+            self.settled[key] = is_settled
+        return is_settled
--- a/src/rosemaryknot/process/node.py
+++ b/src/rosemaryknot/process/node.py
@@ -36,7 +36,7 @@
 from rosemaryknot.process.true_time import TrueTime
 from rosemaryknot.process.usage_book import UsageBook
 from rosemaryknot.process.usage_duty import KEPT_NOTE, UsageDuty
-from rosemaryknot.request.gateway import Gateway, GatewayParts
+from rosemaryknot.request.gateway import Gateway, GatewayComponents
 from rosemaryknot.values.duties import DutyCalls
 from rosemaryknot.values.gateway_answers import GatewayWire
 from rosemaryknot.values.nodes import Node
@@ -187,7 +187,7 @@
             self.configurations,
             handlers,
         )
-        self.gateway = Gateway(self.gateway_parts())
+        self.gateway = Gateway(self.gateway_components())
         self.listener = GatewayListener(
             network,
             adapter.wire,
@@ -222,16 +222,16 @@
             ),
         }
 
-    def gateway_parts(self) -> GatewayParts:
+    def gateway_components(self) -> GatewayComponents:
         """Return what requests are answered with."""
 
-        def take_quota(limit: Any, units: float) -> float:
+        def acquire_quota(limit: Any, units: float) -> float:
             return self.quota.take(limit, units, trio.current_time())
 
-        def give_back_quota(limit: Any, units: float) -> None:
+        def release_quota(limit: Any, units: float) -> None:
             self.quota.give_back(limit, units, trio.current_time())
 
-        return GatewayParts(
+        return GatewayComponents(
             zone=self.settings.zone,
             wire=self.adapter.wire,
             configuration=lambda: self.state.configuration,
@@ -239,15 +239,15 @@
             is_behind=self.state.is_behind,
             servers=self.state.servers,
             pool=self.pool,
-            take_quota=take_quota,
-            give_back_quota=give_back_quota,
+            acquire_quota=acquire_quota,
+            release_quota=release_quota,
             explain_quota=self.quota.explain,
             may_retry=lambda name: self.budget.take(name, trio.current_time()),
-            note_request=lambda name: self.budget.note_request(
+            record_request=lambda name: self.budget.record_request(
                 name, trio.current_time()
             ),
-            note_run=lambda name: self.usage.note(name, self.clock.now()),
-            note_work=self.demand.note,
+            record_run=lambda name: self.usage.note(name, self.clock.now()),
+            record_work=self.demand.note,
             stop=lambda: self.listener.state.stop,
             is_alone=self.is_alone_in_zone,
             rng=self.rng,
--- a/src/rosemaryknot/process/orders.py
+++ b/src/rosemaryknot/process/orders.py
@@ -1,8 +1,8 @@
-"""Orders to the cloud API and to backend servers, given under a lease only.
+"""Orders to the cloud API and to backend servers, sent only while a lease is held.
 
-A holder may be paused between its look at the lease and its send, for as long as the
-machine pleases. So the look proves nothing by itself; what makes a late order
-harmless is told at `OrderSender`.
+A holder may be paused for any length of time between checking the lease and sending
+an order, so the check alone is not sufficient. `OrderSender` describes why late orders
+are harmless.
 """
 
 from collections.abc import Iterator
@@ -29,14 +29,14 @@
 
 __all__ = ["OrderSender", "PendingOrder", "order_outcome_name"]
 
-PAUSE_ALLOWANCE_S = 5.0
-ORDER_ROOM_S = 2.5
+PREDECESSOR_GRACE_S = 5.0
+MIN_LEASE_REMAINING_S = 2.5
 NOT_HOLDER = "the lease is not held"
-WAITING = "the last holder may still be at work"
-UNSETTLED = "what was read back is not stable yet"
-UNWRITTEN = "the store does not hold the decision"
-NEEDS_FENCING = "the servers do not check fencing numbers"
-SERVES = "it would take the service's own model away"
+PREDECESSOR_ACTIVE = "the previous holder may still be sending orders"
+UNSETTLED = "the state read back is not stable yet"
+NOT_RECORDED = "the decision is not recorded in the lease object"
+NEEDS_FENCING = "the servers do not check fencing tokens"
+OWN_MODEL = "the order would unload the service's own model"
 
 ORDERS = counter("placement_orders_total", "Orders by kind and outcome.")
 
@@ -50,9 +50,9 @@
     Attributes
     ----------
     text : str
-        What was ordered.
+        Description of the order.
     since_s : float
-        When it was sent, in trio time.
+        Time at which the order was sent, in trio time.
     """
 
     text: str
@@ -60,39 +60,39 @@
 
 
 class OrderSender:
-    """Gives the orders of one service's placement holder.
-
-    What keeps an order harmless that a paused holder sends late:
-
-    - A server that checks fencing numbers refuses it, once it has seen the number of
-      the next holder, who shows it to every server at the start (``fence``).
-    - The cloud API and other servers check nothing. There, an order that takes
-      something away is given only for an instance whose release stands in the lease
-      object, written under the condition that the lease has not changed hands. Such
-      a record is never taken back, so the order is right at any later time.
-    - A late order that adds something is found by the next holder, which compares
-      what there is with what is wanted, and takes the surplus away.
-    - A server never gets an order to unload the model of its own service, so a late
-      ``unload_model`` takes away nothing that serves. ``set_role`` goes only to
-      servers that check.
+    """Sends the orders of the placement lease holder of one service.
+
+    Orders that a paused holder sends late are harmless for these reasons:
+
+    - A server that checks fencing tokens refuses the order once it has received the
+      token of the next holder, who sends it to every server at the start (``fence``).
+    - The cloud API and other servers do not check tokens. There, a destructive order
+      is sent only for an instance whose release is recorded in the lease object. The
+      record is written under the condition that the lease has not changed hands, and
+      it is never withdrawn, so the order is valid at any later time.
+    - The effect of a late order that adds something is found by the next holder, which
+      compares the actual state with the target and removes the surplus.
+    - A server never receives an order to unload the model of its own service, so a
+      late ``unload_model`` removes nothing that serves requests. ``set_role`` is sent
+      only to servers that check tokens.
 
     Parameters
     ----------
     lease : Lease
-        The service's placement lease.
+        Placement lease of the service.
     cloud : CloudApi
-        The platform.
+        Cloud API of the platform.
     client : OrderClient
-        Calls to backend servers.
+        Client for calls to backend servers.
     safeguards : Safeguards, optional
-        Tests may turn ``additive_first`` off.
+        Safeguards; tests can disable ``additive_first``.
 
     Attributes
     ----------
     settled_fencing : int
-        Fencing number under which what was read back was stable.
+        Fencing token under which the state read back was stable.
     pending : list of PendingOrder
-        Orders under way.
+        Orders that have been sent and have no outcome yet.
     """
 
     def __init__(
@@ -110,85 +110,85 @@
         self.pending: list[PendingOrder] = []
 
     def is_settled(self) -> bool:
-        """Tell whether what was read back under this lease was stable."""
+        """Return whether the state read back under this lease is stable."""
         return self.settled_fencing == self.lease.fencing
 
     def settle(self) -> None:
-        """Note that what was read back under this lease was stable."""
+        """Record that the state read back under this lease is stable."""
         self.settled_fencing = self.lease.fencing
 
     def refusal(self, target: ServiceTarget) -> str:
-        """Return why no order may be given now; empty where one may."""
-        # An order is sent only where its call ends within the lease, unless the
+        """Return why no order may be sent now, or an empty string."""
+        # An order is sent only if its call ends before the lease expires, unless the
         # process is paused.
-        if self.lease.left_s() < ORDER_ROOM_S:
+        if self.lease.left_s() < MIN_LEASE_REMAINING_S:
             return NOT_HOLDER
         must_wait = not target.checks_fencing and not self.lease.is_clean
         held_s = trio.current_time() - self.lease.acquired_s
-        if must_wait and held_s < PAUSE_ALLOWANCE_S:
-            return WAITING
+        if must_wait and held_s < PREDECESSOR_GRACE_S:
+            return PREDECESSOR_ACTIVE
         return ""
 
     def removal_refusal(self, target: ServiceTarget, instance: str) -> str:
-        """Return why an instance may not be taken away now; empty where it may.
+        """Return why an instance may not be removed now, or an empty string.
 
-        A new holder's first list may lag behind what its predecessor did: it would
-        take the last server that serves for one too many, and callers would find
-        none.
+        The first list of a new holder may lag behind the orders of its predecessor.
+        Without this check, the new holder could treat the last serving instance as
+        surplus, and callers would find no server.
         """
         refusal = self.refusal(target)
         if refusal or not self.safeguards.additive_first:
             return refusal
         if not self.is_settled():
             return UNSETTLED
-        return "" if instance in self.lease.leaving else UNWRITTEN
+        return "" if instance in self.lease.leaving else NOT_RECORDED
 
     async def start(self, target: ServiceTarget, kind: InstanceKind) -> Outcome:
-        """Ask the cloud for an instance."""
+        """Request an instance from the cloud."""
         refusal = self.refusal(target)
         if refusal:
             return OrderRefused(refusal)
-        with self.under_way(f"start {kind}"):
-            answer = await self.cloud.start_instance(
+        with self.track_pending(f"start {kind}"):
+            response = await self.cloud.start_instance(
                 target.service, kind.zone, kind.machine_class, kind.reclaimable
             )
-        if isinstance(answer, StartRefused):
-            outcome: Outcome = OrderRefused(answer.reason)
+        if isinstance(response, StartRefused):
+            outcome: Outcome = OrderRefused(response.reason)
         else:
-            outcome = cloud_outcome(answer)
-        return self.counted("start", outcome)
+            outcome = outcome_of_cloud_call(response)
+        return self.record_outcome("start", outcome)
 
     async def release(self, target: ServiceTarget, instance: str) -> Outcome:
-        """Give an instance back to the cloud, where the store holds the decision."""
+        """Release an instance to the cloud if the decision is recorded."""
         refusal = self.removal_refusal(target, instance)
         if refusal:
             return OrderRefused(refusal)
-        with self.under_way(f"release {instance}"):
-            answer = await self.cloud.release_instance(instance)
-        if isinstance(answer, Missing):
-            answer = None
-        return self.counted("release", cloud_outcome(answer))
+        with self.track_pending(f"release {instance}"):
+            response = await self.cloud.release_instance(instance)
+        if isinstance(response, Missing):
+            response = None
+        return self.record_outcome("release", outcome_of_cloud_call(response))
 
     async def order(
         self, target: ServiceTarget, server: BackendServer, order: ServerOrder
     ) -> Outcome:
-        """Give an order to a backend server, with the lease's fencing number."""
+        """Send an order to a backend server, with the fencing token of the lease."""
         refusal = self.server_refusal(target, server, order)
         if refusal:
             return OrderRefused(refusal)
-        with self.under_way(f"{order.order} to {server.instance}"):
+        with self.track_pending(f"{order.order} to {server.instance}"):
             outcome = await self.client.order(server, order, self.lease.fencing)
         if isinstance(outcome, OrderRefused) and outcome.fencing:
             self.lease.note_fencing(outcome.fencing)
-        return self.counted(order.order, outcome)
+        return self.record_outcome(order.order, outcome)
 
     def server_refusal(
         self, target: ServiceTarget, server: BackendServer, order: ServerOrder
     ) -> str:
-        """Return why a server may not get an order now; empty where it may."""
+        """Return why a server may not receive an order now, or an empty string."""
         if order.order == "unload_model":
             if order.arguments.get("model") == target.service:
-                return SERVES
+                return OWN_MODEL
             return self.refusal(target) or ("" if self.is_settled() else UNSETTLED)
         if order.order == "set_role" and not target.checks_fencing:
             return NEEDS_FENCING
@@ -197,8 +197,8 @@
         return self.refusal(target)
 
     @contextmanager
-    def under_way(self, text: str) -> Iterator[None]:
-        """Show an order in the status while it has no outcome."""
+    def track_pending(self, text: str) -> Iterator[None]:
+        """List an order as pending while it has no outcome."""
         order = PendingOrder(text, trio.current_time())
         self.pending.append(order)
         try:
@@ -206,14 +206,14 @@
         finally:
             self.pending.remove(order)
 
-    def counted(self, order: str, outcome: Outcome) -> Outcome:
+    def record_outcome(self, order: str, outcome: Outcome) -> Outcome:
         """Count an outcome and return it."""
         ORDERS.add(order=order, outcome=order_outcome_name(outcome))
         return outcome
 
 
 def order_outcome_name(outcome: Outcome) -> str:
-    """Return the word for an outcome in logs and metrics.
+    """Return the name of an outcome for logs and metrics.
 
     Examples
     --------
@@ -223,10 +223,10 @@
     return type(outcome).__name__.removeprefix("Order").lower()
 
 
-def cloud_outcome(answer: BackendServer | PlatformFailed | None) -> Outcome:
-    """Return the outcome of a call of the cloud API."""
-    if not isinstance(answer, PlatformFailed):
-        return OrderDone(answer)
-    if answer.maybe_done:
-        return OrderFailed(answer.reason)
-    return OrderRefused(answer.reason)
+def outcome_of_cloud_call(response: BackendServer | PlatformFailed | None) -> Outcome:
+    """Return the order outcome for a response of the cloud API."""
+    if not isinstance(response, PlatformFailed):
+        return OrderDone(response)
+    if response.maybe_done:
+        return OrderFailed(response.reason)
+    return OrderRefused(response.reason)
--- a/src/rosemaryknot/process/placement/keeper.py
+++ b/src/rosemaryknot/process/placement/manager.py
@@ -1,4 +1,7 @@
-"""The placement leases of all services, and what operators see of them."""
+"""Placement of all services: leases, duties and the status shown to operators.
+
+A duty is a task that only the holder of a lease performs.
+"""
 
 import random
 from collections.abc import Callable, Iterable
@@ -16,43 +19,43 @@
 from rosemaryknot.values.placement import CloudApi, OrderClient, ServiceTarget
 from rosemaryknot.values.platform import ObjectStore
 
-__all__ = ["PlacementKeeper"]
+__all__ = ["PlacementManager"]
 
-LOOK_S = 1.0
+CHECK_INTERVAL_S = 1.0
 
 log = logger("placement")
 
 
-class PlacementKeeper:
-    """Takes part in the placement of each service that has one.
+class PlacementManager:
+    """Runs a placement duty for each service that has a placement.
 
     Parameters
     ----------
     node : Node
         This node.
     nodes : callable
-        Returns the other nodes that seem to live.
+        Returns the other nodes that are considered live.
     targets : callable
-        Returns what the configuration in force wants.
+        Returns the placement targets of the current configuration by service.
     store : ObjectStore
-        The platform's object API.
+        Object API of the platform.
     cloud : CloudApi
-        The platform's cloud API.
+        Cloud API of the platform.
     client : OrderClient
-        Calls to backend servers.
+        Client for calls to backend servers.
     servers : ServerTable
-        Backend servers.
+        Table of the known instances.
     is_stopping : callable
-        Tells whether this node is about to stop.
+        Returns whether this node is shutting down.
     rng : random.Random
-        For jitter.
+        Source of jitter.
     safeguards : Safeguards, optional
-        Tests may turn safeguards off.
+        Safeguards that tests can disable.
 
     Attributes
     ----------
     duties : dict of str to PlacementDuty
-        By service.
+        Placement duties by service.
     """
 
     def __init__(
@@ -83,31 +86,31 @@
         self.tasks = trio.CancelScope()
         self.ended = trio.Event()
 
-    # Its tasks.
+    # Tasks.
 
     async def run(self) -> None:
-        """Take part for each service of the configuration, until cancelled."""
+        """Run a duty for each service of the configuration until cancelled."""
         try:
             with self.tasks:
                 async with trio.open_nursery() as nursery:
                     while True:
-                        self.match_services(nursery)
-                        await trio.sleep(LOOK_S)
+                        self.sync_services(nursery)
+                        await trio.sleep(CHECK_INTERVAL_S)
         finally:
             self.ended.set()
 
-    def match_services(self, nursery: trio.Nursery) -> None:
-        """Begin with new services, and end with those that are gone."""
+    def sync_services(self, nursery: trio.Nursery) -> None:
+        """Start duties of new services and cancel those of removed ones."""
         targets = self.targets()
         for service in targets:
             if service not in self.duties:
-                self.duties[service] = self.new_duty(service)
+                self.duties[service] = self.create_duty(service)
                 nursery.start_soon(self.run_duty, service)
         for service in set(self.duties) - set(targets):
             self.scopes[service].cancel()
 
     async def run_duty(self, service: str) -> None:
-        """Keep one service's lease, and do its duty."""
+        """Hold or await the lease of a service and perform its duty."""
         duty = self.duties[service]
         with trio.CancelScope() as scope:
             self.scopes[service] = scope
@@ -118,10 +121,10 @@
             del self.duties[service], self.scopes[service]
 
     async def end(self) -> None:
-        """Give no more orders, then give the leases back.
+        """Stop sending orders, then release the leases.
 
-        In this order: the next holder takes a lease that was given back without a
-        wait, so none of our orders may be sent after that.
+        The order matters: the next holder acquires a released lease without waiting,
+        so this node must not send an order after the release.
         """
         self.tasks.cancel()
         await self.ended.wait()
@@ -129,8 +132,8 @@
             for duty in self.duties.values():
                 nursery.start_soon(duty.lease.release)
 
-    def new_duty(self, service: str) -> PlacementDuty:
-        """Return the parts of one service's placement."""
+    def create_duty(self, service: str) -> PlacementDuty:
+        """Create the placement duty of a service with its lease and sender."""
         lease = Lease(
             self.store,
             f"placement-{service}",
@@ -150,22 +153,22 @@
         )
 
     def candidates(self, service: str) -> list[Node]:
-        """Return the nodes that may hold a service's lease."""
+        """Return the nodes that may hold the lease of a service."""
         nodes = [*self.nodes(), self.node]
         return lease_candidates(nodes, f"placement-{service}")
 
     def is_candidate(self, service: str) -> bool:
-        """Tell whether this node may take a service's lease."""
+        """Return whether this node may acquire the lease of a service."""
         return not self.is_stopping() and self.node in self.candidates(service)
 
-    # What operators see.
+    # Status for operators.
 
     def status(self) -> list[dict[str, Any]]:
-        """Return each service's holder and pending orders."""
+        """Return the lease holder and the pending orders of each service."""
         return [self.status_of(service) for service in sorted(self.duties)]
 
     def status_of(self, service: str) -> dict[str, Any]:
-        """Return what this node knows of one service's placement."""
+        """Return the placement status of a service as known to this node."""
         duty = self.duties[service]
         lease = duty.lease
         now_s = trio.current_time()
--- a/src/rosemaryknot/process/placement/policies.py
+++ b/src/rosemaryknot/process/placement/policies.py
@@ -1,7 +1,8 @@
-"""The placement policies: ours, and the baselines that it is measured against.
+"""Placement policies: the default policy and the baselines for comparison.
 
-A policy is a plain function of a `PlacementInput`; the same one runs live and in
-measurements. It starts what is missing and drains what is too much.
+A policy is a pure function of a `PlacementInput`. The same function runs in
+production and in the benchmarks. It returns decisions that start missing instances
+and drain surplus ones.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -32,7 +33,7 @@
 DEFAULT_POLICY = "spot_mix"
 RECLAIM_COST_HOURS = 0.1
 MAX_RECLAIMS_PER_HOUR = 20.0
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 PlacementPolicy = Callable[[PlacementInput], list[Decision]]
 PLACEMENT_POLICIES: dict[str, PlacementPolicy] = {}
@@ -61,226 +62,239 @@
     return register
 
 
-def decide(name: str, given: PlacementInput) -> list[Decision]:
-    """Return a policy's decisions, and the release of what has been drained.
+def decide(name: str, inputs: PlacementInput) -> list[Decision]:
+    """Return a policy's decisions, followed by the releases of drained instances.
 
     Parameters
     ----------
     name : str
-        Of a registered policy; another name gives the default one.
-    given : PlacementInput
-        What is known.
+        Name of a registered policy. Unknown names select the default policy.
+    inputs : PlacementInput
+        Target, instances and kinds of instance known at this time.
 
     Returns
     -------
     decisions : list of Decision
-        In the order in which to carry them out.
+        Decisions in the order of execution.
     """
     policy = PLACEMENT_POLICIES.get(name) or PLACEMENT_POLICIES[DEFAULT_POLICY]
     releases = [
         Release(i.instance, "drained")
-        for i in given.instances
+        for i in inputs.instances
         if i.phase == Phase.LEAVING and i.is_drained
     ]
-    return [*policy(given), *releases]
+    return [*policy(inputs), *releases]
 
 
-# What the policies share.
+# Functions shared by the policies.
 
 
-def present(given: PlacementInput, zone: str | None = None) -> list[PlacedInstance]:
-    """Return the instances that stay, of all zones or of one."""
+def staying_instances(
+    inputs: PlacementInput, zone: str | None = None
+) -> list[PlacedInstance]:
+    """Return the instances that are not being removed, in all zones or in one."""
     return [
         i
-        for i in given.instances
+        for i in inputs.instances
         if i.phase != Phase.LEAVING and zone in (None, i.kind.zone)
     ]
 
 
-def startable(
-    given: PlacementInput, zone: ZoneTarget, reclaimable: Iterable[bool]
+def startable_kinds(
+    inputs: PlacementInput, zone: ZoneTarget, reclaimable: Iterable[bool]
 ) -> list[InstanceKind]:
-    """Return the kinds that may be asked for in a zone now.
+    """Return the kinds that can be requested in a zone now.
 
-    Where the configuration names no classes, those that the service has go first:
-    the price list also names classes of other services.
+    If the configuration names no machine classes, only the classes that the service
+    already uses are allowed, because the price list also contains classes of other
+    services. Without any instance, all classes are allowed.
     """
-    classes = zone.classes or {i.kind.machine_class for i in given.instances}
+    classes = zone.classes or {i.kind.machine_class for i in inputs.instances}
     return [
         kind
-        for kind, facts in sorted(given.kinds.items())
+        for kind, facts in sorted(inputs.kinds.items())
         if kind.zone == zone.zone
         and kind.reclaimable in reclaimable
         and (not classes or kind.machine_class in classes)
         and facts.price_per_hour <= zone.price_ceiling_per_hour
-        and facts.refused_until_s <= given.now_s
+        and facts.refused_until_s <= inputs.now_s
     ]
 
 
-def reclaimable_room(given: PlacementInput, zone: ZoneTarget, count: int) -> int:
-    """Return how many more reclaimable instances the zone's share allows."""
-    most = int(zone.reclaimable_share * count + ROUNDING)
-    return most - sum(i.kind.reclaimable for i in present(given, zone.zone))
+def reclaimable_headroom(inputs: PlacementInput, zone: ZoneTarget, count: int) -> int:
+    """Return the number of reclaimable instances that the zone can still add.
+
+    The result is negative if the zone exceeds its configured share.
+    """
+    max_reclaimable = int(zone.reclaimable_share * count + ROUNDING_TOLERANCE)
+    return max_reclaimable - sum(
+        i.kind.reclaimable for i in staying_instances(inputs, zone.zone)
+    )
 
 
-def fill(
-    given: PlacementInput, zone: ZoneTarget, count: int, missing: int, score: Score
+def start_missing(
+    inputs: PlacementInput, zone: ZoneTarget, count: int, missing: int, score: Score
 ) -> list[Decision]:
-    """Start the missing instances of a zone, each of the kind that scores lowest."""
+    """Start a zone's missing instances, each of the kind with the lowest score."""
     starts: list[Decision] = []
-    room = reclaimable_room(given, zone, count)
-    have = len(present(given, zone.zone))
+    headroom = reclaimable_headroom(inputs, zone, count)
+    present = len(staying_instances(inputs, zone.zone))
     for number in range(missing):
-        forms = (False, True) if room > 0 else (False,)
-        kinds = startable(given, zone, forms)
+        reclaimable_options = (False, True) if headroom > 0 else (False,)
+        kinds = startable_kinds(inputs, zone, reclaimable_options)
         if not kinds:
             break
         kind = min(kinds, key=lambda kind: (score(kind), kind))
-        room -= kind.reclaimable
-        starts.append(Start(kind, f"{have + number} of {count} in {zone.zone}"))
+        headroom -= kind.reclaimable
+        starts.append(Start(kind, f"{present + number} of {count} in {zone.zone}"))
     return starts
 
 
-def thin(
-    given: PlacementInput, zone: ZoneTarget, count: int, surplus: int, score: Score
+def drain_surplus(
+    inputs: PlacementInput, zone: ZoneTarget, count: int, surplus: int, score: Score
 ) -> list[Decision]:
-    """Drain what is too much in a zone, the dearest live ones first.
+    """Drain a zone's surplus, starting with the live instances of the highest score.
 
-    One that is starting may still fail, so nothing is drained on account of it.
+    Instances that are still starting may fail, so they do not count as surplus that
+    allows a live instance to be drained.
     """
-    live = [i for i in present(given, zone.zone) if i.phase == Phase.LIVE]
+    live = [i for i in staying_instances(inputs, zone.zone) if i.phase == Phase.LIVE]
     live.sort(key=lambda i: (score(i.kind), i.instance), reverse=True)
-    have = len(present(given, zone.zone))
-    reason = f"{have} of {count} in {zone.zone}"
+    present = len(staying_instances(inputs, zone.zone))
+    reason = f"{present} of {count} in {zone.zone}"
     surplus = min(surplus, len(live) - count)
     return [Drain(i.instance, reason) for i in live[: max(0, surplus)]]
 
 
-def match_counts(
-    given: PlacementInput, counts: Mapping[str, int], score: Score
+def reach_counts(
+    inputs: PlacementInput, counts: Mapping[str, int], score: Score
 ) -> list[Decision]:
-    """Start and drain until each zone has its count."""
+    """Start and drain instances to bring each zone to its count."""
     decisions: list[Decision] = []
-    for zone in given.target.zones:
+    for zone in inputs.target.zones:
         count = counts.get(zone.zone, 0)
-        missing = count - len(present(given, zone.zone))
+        missing = count - len(staying_instances(inputs, zone.zone))
         if missing > 0:
-            decisions += fill(given, zone, count, missing, score)
+            decisions += start_missing(inputs, zone, count, missing, score)
         else:
-            decisions += thin(given, zone, count, -missing, score)
+            decisions += drain_surplus(inputs, zone, count, -missing, score)
     return decisions
 
 
-def wanted(given: PlacementInput) -> dict[str, int]:
-    """Return the counts of the configuration by zone."""
-    return {zone.zone: zone.count for zone in given.target.zones}
+def configured_counts(inputs: PlacementInput) -> dict[str, int]:
+    """Return the configured instance counts by zone."""
+    return {zone.zone: zone.count for zone in inputs.target.zones}
 
 
-def price_of(given: PlacementInput) -> Score:
-    """Return a score of kinds: their price."""
-    dear = float("inf")
+def price_score(inputs: PlacementInput) -> Score:
+    """Return a function that scores a kind by its price."""
+    unknown_price = float("inf")
 
     def price(kind: InstanceKind) -> float:
-        facts = given.kinds.get(kind)
-        return dear if facts is None else facts.price_per_hour
+        facts = inputs.kinds.get(kind)
+        return unknown_price if facts is None else facts.price_per_hour
 
     return price
 
 
-# The baselines.
+# Baselines.
 
 
 @placement_policy("all_on_demand")
-def all_on_demand(given: PlacementInput) -> list[Decision]:
-    """Keep each zone's count with instances that are never reclaimed; a baseline."""
-    price = price_of(given)
-    decisions = match_counts(
-        given, wanted(given), lambda kind: price(kind) + 1e9 * kind.reclaimable
+def all_on_demand(inputs: PlacementInput) -> list[Decision]:
+    """Meet each zone's count with on-demand instances only (baseline)."""
+    price = price_score(inputs)
+    decisions = reach_counts(
+        inputs,
+        configured_counts(inputs),
+        lambda kind: price(kind) + 1e9 * kind.reclaimable,
     )
     return [d for d in decisions if not isinstance(d, Start) or not d.kind.reclaimable]
 
 
 @placement_policy("cheapest_zone")
-def cheapest_zone(given: PlacementInput) -> list[Decision]:
-    """Keep all instances in the zone with the lowest price; a baseline."""
-    price = price_of(given)
+def cheapest_zone(inputs: PlacementInput) -> list[Decision]:
+    """Place all instances in the zone with the lowest price (baseline)."""
+    price = price_score(inputs)
     cheapest: dict[str, float] = {}
-    for zone in given.target.zones:
-        kinds = startable(given, zone, (False, True))
+    for zone in inputs.target.zones:
+        kinds = startable_kinds(inputs, zone, (False, True))
         cheapest[zone.zone] = min(map(price, kinds), default=float("inf"))
     if not cheapest:
         return []
     best = min(cheapest, key=lambda zone: (cheapest[zone], zone))
-    return match_counts(given, {best: sum(wanted(given).values())}, price)
+    return reach_counts(inputs, {best: sum(configured_counts(inputs).values())}, price)
 
 
 @placement_policy("even_spread")
-def even_spread(given: PlacementInput) -> list[Decision]:
-    """Spread the whole count evenly over the zones, cheapest kinds; a baseline."""
-    zones = [zone.zone for zone in given.target.zones]
+def even_spread(inputs: PlacementInput) -> list[Decision]:
+    """Distribute all instances evenly over the zones, by price (baseline)."""
+    zones = [zone.zone for zone in inputs.target.zones]
     if not zones:
         return []
-    share, rest = divmod(sum(wanted(given).values()), len(zones))
-    counts = {zone: share + (index < rest) for index, zone in enumerate(zones)}
-    return match_counts(given, counts, price_of(given))
+    share, remainder = divmod(sum(configured_counts(inputs).values()), len(zones))
+    counts = {zone: share + (index < remainder) for index, zone in enumerate(zones)}
+    return reach_counts(inputs, counts, price_score(inputs))
 
 
-# Ours.
+# Default policy.
 
 
-def expected_cost(given: PlacementInput) -> Score:
-    """Return a score of kinds: price with what its reclaims cost.
+def expected_cost(inputs: PlacementInput) -> Score:
+    """Return a function that scores a kind by its price and the cost of reclaims.
 
-    Each reclaim pays for a replacement while the old instance still runs, and for
-    work done again; a kind that is reclaimed all the time is worth nothing.
+    Each reclaim costs a replacement that runs in parallel with the old instance, and
+    the repetition of lost work. Kinds with more than ``MAX_RECLAIMS_PER_HOUR`` get an
+    infinite cost.
     """
-    price = price_of(given)
+    price = price_score(inputs)
 
     def cost(kind: InstanceKind) -> float:
-        facts = given.kinds.get(kind)
+        facts = inputs.kinds.get(kind)
         if facts is None or facts.reclaims_per_hour > MAX_RECLAIMS_PER_HOUR:
             return float("inf")
-        lost = facts.reclaims_per_hour * RECLAIM_COST_HOURS
-        return price(kind) * (1 + lost)
+        reclaim_overhead = facts.reclaims_per_hour * RECLAIM_COST_HOURS
+        return price(kind) * (1 + reclaim_overhead)
 
     return cost
 
 
-def spilled_counts(given: PlacementInput, cost: Score) -> dict[str, int]:
-    """Return the counts by zone with what blocked zones lack put elsewhere.
+def redistributed_counts(inputs: PlacementInput, cost: Score) -> dict[str, int]:
+    """Return the counts by zone, with the deficit of blocked zones moved to others.
 
-    A zone is blocked while none of its kinds may be asked for: the whole zone was
-    reclaimed, or its starts are refused. Its work would overload the others, so
-    they get the difference, cheapest first and evenly.
+    A zone is blocked while none of its kinds can be requested, for example because
+    the whole zone was reclaimed or its starts are refused. Its load moves to the
+    other zones and would overload them, so its missing instances are distributed
+    round-robin over the other zones, starting with the cheapest.
     """
-    counts = wanted(given)
+    counts = configured_counts(inputs)
     missing = 0
-    open_zones: list[tuple[float, str]] = []
-    for zone in given.target.zones:
-        kinds = startable(given, zone, (False, True))
-        have = len(present(given, zone.zone))
+    available_zones: list[tuple[float, str]] = []
+    for zone in inputs.target.zones:
+        kinds = startable_kinds(inputs, zone, (False, True))
+        present = len(staying_instances(inputs, zone.zone))
         if kinds:
-            open_zones.append((min(map(cost, kinds)), zone.zone))
-        elif have < zone.count:
-            missing += zone.count - have
-    open_zones.sort()
-    for number in range(missing if open_zones else 0):
-        counts[open_zones[number % len(open_zones)][1]] += 1
+            available_zones.append((min(map(cost, kinds)), zone.zone))
+        elif present < zone.count:
+            missing += zone.count - present
+    available_zones.sort()
+    for number in range(missing if available_zones else 0):
+        counts[available_zones[number % len(available_zones)][1]] += 1
     return counts
 
 
 @placement_policy("spot_mix")
-def spot_mix(given: PlacementInput) -> list[Decision]:
-    """Keep the counts with the cheapest mix by price and measured reclaims.
+def spot_mix(inputs: PlacementInput) -> list[Decision]:
+    """Choose the cheapest mix of instances by price and measured reclaim rate.
 
-    The configured share bounds the reclaimable instances of each zone, so that the
-    rest stays when all of them are taken at once; a blocked zone's part runs in the
-    others until the zone gives instances again.
+    The configured share limits the reclaimable instances of each zone, so the other
+    instances remain if all reclaimable ones are reclaimed together. The instances
+    of a blocked zone run in the other zones until the zone accepts starts again.
     """
-    cost = expected_cost(given)
-    decisions = match_counts(given, spilled_counts(given, cost), cost)
+    cost = expected_cost(inputs)
+    decisions = reach_counts(inputs, redistributed_counts(inputs, cost), cost)
     starts = [d for d in decisions if isinstance(d, Start)]
     if starts:
-        # What is missing comes first; what is too much may still be needed.
+        # Start missing instances before draining: surplus ones may still be needed.
         return list(starts)
     return decisions
--- a/src/rosemaryknot/process/placement/read_back.py
+++ b/src/rosemaryknot/process/placement/read_back.py
@@ -1,4 +1,4 @@
-"""A new holder's look at what there is, until it is the same for some time."""
+"""Read-back of the current state by a new lease holder, until it is stable."""
 
 from collections.abc import Iterable
 
@@ -12,7 +12,7 @@
 
 __all__ = ["ReadBack"]
 
-STABLE_S = 6.0
+STABLE_PERIOD_S = 6.0
 
 
 class ReadBack:
@@ -21,18 +21,18 @@
     Parameters
     ----------
     sender : OrderSender
-        Told when what was read is stable.
+        Sender that is marked as settled once the state is stable.
     cloud : CloudApi
-        Gives the instance list.
+        Source of the instance list.
     client : OrderClient
-        Asks the servers.
+        Client that reads the orders in effect at the servers.
     servers : ServerTable
-        Takes the lists over.
+        Table to which the instance lists are applied.
 
     Attributes
     ----------
     has_list : bool
-        Whether a list was read under this lease.
+        Whether an instance list was read under this lease.
     """
 
     def __init__(
@@ -46,16 +46,19 @@
         self.cloud = cloud
         self.client = client
         self.servers = servers
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
-        """Start over, for a new lease."""
+    def reset(self) -> None:
+        """Discard the state, for a new lease."""
         self.has_list = False
         self.snapshot: object = None
-        self.since_s = float("-inf")
+        self.unchanged_since_s = float("-inf")
 
-    async def look(self, target: ServiceTarget) -> None:
-        """Read once, and settle the sender when nothing has changed for long enough."""
+    async def update(self, target: ServiceTarget) -> None:
+        """Read the state once, and settle the sender if it is stable.
+
+        The state is stable once it has not changed for ``STABLE_PERIOD_S``.
+        """
         listed = await self.cloud.instances()
         if isinstance(listed, PlatformFailed):
             return
@@ -66,17 +69,20 @@
             for server in listed
             if server.service == target.service and server.state == ServerState.LIVE
         ]
-        snapshot = (names(listed, target.service), await self.orders(target, live))
+        snapshot = (
+            instance_states(listed, target.service),
+            await self.orders(target, live),
+        )
         now_s = trio.current_time()
         if snapshot != self.snapshot:
-            self.snapshot, self.since_s = snapshot, now_s
-        elif now_s - self.since_s >= STABLE_S:
+            self.snapshot, self.unchanged_since_s = snapshot, now_s
+        elif now_s - self.unchanged_since_s >= STABLE_PERIOD_S:
             self.sender.settle()
 
     async def orders(
         self, target: ServiceTarget, live: list[BackendServer]
     ) -> list[tuple]:
-        """Read back what is in force at the servers that take orders."""
+        """Read the loaded models from the servers that accept orders."""
         found: dict[str, tuple[str, ...] | None] = {}
 
         async def read(server: BackendServer) -> None:
@@ -89,6 +95,8 @@
         return sorted(found.items())
 
 
-def names(listed: Iterable[BackendServer], service: str) -> list[tuple[str, str]]:
-    """Return the instances of a service with their states."""
+def instance_states(
+    listed: Iterable[BackendServer], service: str
+) -> list[tuple[str, str]]:
+    """Return the instances of a service with their states, sorted."""
     return sorted((s.instance, str(s.state)) for s in listed if s.service == service)
--- a/src/rosemaryknot/process/placement/removal.py
+++ b/src/rosemaryknot/process/placement/removal.py
@@ -1,4 +1,4 @@
-"""Drain before release: how an instance is taken away without harm."""
+"""Removal of instances: drain first, then release."""
 
 from collections.abc import Iterable
 
@@ -25,9 +25,9 @@
 __all__ = ["Removal"]
 
 SOURCE = "placement"
-HOLD_S = 15.0
-SETTLE_S = 5.0
-IDLE_S = 2.0
+MIN_SURPLUS_S = 15.0
+MIN_DRAIN_S = 5.0
+IDLE_CONFIRM_S = 2.0
 
 DECISIONS = counter("placement_decisions_total", "Placement decisions by kind.")
 
@@ -35,25 +35,25 @@
 
 
 class Removal:
-    """Drains instances that are too many, and releases them once they are idle.
+    """Drains surplus instances and releases them once they are idle.
 
     Parameters
     ----------
     lease : Lease
-        Holds the decisions to release.
+        Placement lease of the service; its object stores the release decisions.
     sender : OrderSender
-        Gives the orders.
+        Sends the orders.
     cloud : CloudApi
-        Knows the true state of an instance.
+        Source of the authoritative state of an instance.
     client : OrderClient
-        Asks servers how many requests they have.
+        Client that queries servers for their number of requests.
     servers : ServerTable
-        Spreads the mark that an instance is leaving.
+        Table whose marks tell other nodes that an instance is draining.
 
     Attributes
     ----------
     drained : set of str
-        Leaving instances whose work has ended.
+        Instances being removed that have no requests left.
     """
 
     def __init__(
@@ -70,55 +70,63 @@
         self.client = client
         self.servers = servers
         self.drained: set[str] = set()
-        self.proposed_s: dict[str, float] = {}
-        self.leaving_s: dict[str, float] = {}
-        self.idle_s: dict[str, float] = {}
+        self.proposed_since_s: dict[str, float] = {}
+        self.leaving_since_s: dict[str, float] = {}
+        self.idle_since_s: dict[str, float] = {}
 
     # Draining.
 
-    def note_proposed(self, decisions: Iterable[Decision]) -> None:
-        """Remember since when each instance has been too much without a break."""
+    def record_proposed(self, decisions: Iterable[Decision]) -> None:
+        """Record since when each instance has been surplus without interruption."""
         now_s = trio.current_time()
         names = {d.instance for d in decisions if isinstance(d, Drain)}
-        self.proposed_s = {n: self.proposed_s.get(n, now_s) for n in sorted(names)}
+        self.proposed_since_s = {
+            n: self.proposed_since_s.get(n, now_s) for n in sorted(names)
+        }
 
     async def drain(
         self, target: ServiceTarget, decision: Drain, servers: list[BackendServer]
     ) -> None:
-        """Decide for good that an instance goes, once it was too much for long enough.
+        """Start the removal of an instance that has been surplus for long enough.
 
-        A count that goes up and down, or a start that shows up late, would else
-        cost a drain and a start each time.
+        The decision is stored in the lease object and is final. Without the delay, a
+        count that oscillates, or a start that is listed late, would cost a drain and
+        a start each time.
         """
         name = decision.instance
-        held_s = trio.current_time() - self.proposed_s.get(name, trio.current_time())
-        if held_s < HOLD_S or not await self.may_drain(target, name, servers):
+        surplus_s = trio.current_time() - self.proposed_since_s.get(
+            name, trio.current_time()
+        )
+        if surplus_s < MIN_SURPLUS_S or not await self.may_drain(target, name, servers):
             return
         if not await self.lease.note_leaving([name]):
             return
         DECISIONS.add(service=target.service, decision="drain")
-        self.note(target, f"drain {name}: {decision.reason}", name)
+        self.record(target, f"drain {name}: {decision.reason}", name)
         self.mark_leaving()
         server = self.servers.get(name)
         if target.is_model and server is not None:
             await self.sender.order(target, server, ServerOrder("drain"))
 
-    async def give_up(self, target: ServiceTarget, names: Iterable[str]) -> None:
-        """Decide for good that instances which never came up go."""
+    async def abandon_starts(self, target: ServiceTarget, names: Iterable[str]) -> None:
+        """Decide to release instances that did not become ready.
+
+        The decision is stored in the lease object and is final.
+        """
         failed = [name for name in names if name not in self.lease.leaving]
         if not failed or not self.sender.is_settled():
             return
         if await self.lease.note_leaving(failed):
             for name in failed:
-                self.note(target, f"give up {name}: it did not come up", name)
+                self.record(target, f"abandon {name}: got no address in time", name)
 
     async def may_drain(
         self, target: ServiceTarget, name: str, servers: list[BackendServer]
     ) -> bool:
-        """Tell whether the instances that would stay are really there.
+        """Return whether the platform confirms that the remaining instances are live.
 
-        The list lags: it may still show two servers that are gone, beside the one
-        that serves, which would then be one too many.
+        The instance list lags: it may still show two terminated servers beside the
+        only one that serves, which would then count as surplus.
         """
         if not self.sender.safeguards.additive_first:
             return not self.sender.refusal(target)
@@ -131,7 +139,10 @@
         return True
 
     async def is_live(self, name: str) -> bool:
-        """Ask the platform for the true state of an instance."""
+        """Return whether the platform reports an instance as live.
+
+        A terminated or draining instance is also marked in the server table.
+        """
         found = await self.cloud.instance(name)
         if isinstance(found, PlatformFailed):
             return False
@@ -144,29 +155,31 @@
         return True
 
     def mark_leaving(self) -> None:
-        """Mark what a holder has decided to release, so that it gets no new work."""
+        """Mark the instances to be released, so that they get no new requests."""
         for name in self.lease.leaving:
             if self.servers.marks.get(name) is None:
                 self.servers.mark_leaving(name, 0.0, SOURCE)
 
     # Releasing.
 
-    async def look(self, target: ServiceTarget, servers: list[BackendServer]) -> None:
-        """Find out which leaving instances have ended their work."""
+    async def update(self, target: ServiceTarget, servers: list[BackendServer]) -> None:
+        """Update the set of instances that are drained, and forget terminated ones."""
         now_s = trio.current_time()
         names = self.lease.leaving
         known = {server.instance: server for server in servers}
-        self.leaving_s = {name: self.leaving_s.get(name, now_s) for name in names}
+        self.leaving_since_s = {
+            name: self.leaving_since_s.get(name, now_s) for name in names
+        }
         self.drained &= set(names)
         for name in names:
             server = known.get(name)
             if server is None or server.state == ServerState.TERMINATED:
-                await self.look_at_gone(name)
+                await self.forget_terminated(name)
             elif await self.is_idle(target, server):
                 self.drained.add(name)
 
-    async def look_at_gone(self, name: str) -> None:
-        """Forget an instance once the platform says that it has ended."""
+    async def forget_terminated(self, name: str) -> None:
+        """Forget an instance if the platform confirms its termination."""
         found = await self.cloud.instance(name)
         if isinstance(found, Missing):
             self.lease.forget_leaving(name)
@@ -176,40 +189,41 @@
             self.lease.forget_leaving(name)
 
     async def is_idle(self, target: ServiceTarget, server: BackendServer) -> bool:
-        """Tell whether a leaving server has no work left.
+        """Return whether a draining server has no requests left.
 
-        A model engine says so; it is asked twice, since its report lags. Of another
-        server nothing is known, so it gets the time that one request may take.
+        A model engine reports its number of requests. It must report none for
+        ``IDLE_CONFIRM_S``, because its report lags. Other servers report nothing, so
+        they are given the timeout of one request.
         """
         name = server.instance
-        left_s = trio.current_time() - self.leaving_s[name]
-        if left_s < SETTLE_S or not server.address:
-            return left_s >= SETTLE_S
-        if left_s >= SETTLE_S + target.timeout_s:
+        draining_s = trio.current_time() - self.leaving_since_s[name]
+        if draining_s < MIN_DRAIN_S or not server.address:
+            return draining_s >= MIN_DRAIN_S
+        if draining_s >= MIN_DRAIN_S + target.timeout_s:
             return True
         requests = await self.client.requests(server) if target.is_model else None
         if requests != 0:
-            self.idle_s.pop(name, None)
+            self.idle_since_s.pop(name, None)
             return False
-        since_s = self.idle_s.setdefault(name, trio.current_time())
-        return trio.current_time() - since_s >= IDLE_S
+        idle_from_s = self.idle_since_s.setdefault(name, trio.current_time())
+        return trio.current_time() - idle_from_s >= IDLE_CONFIRM_S
 
     async def release(self, target: ServiceTarget, decision: Release) -> None:
-        """Give a drained instance back."""
+        """Release a drained instance to the cloud."""
         name = decision.instance
         if name not in self.lease.leaving:
             return
         if self.sender.removal_refusal(target, name):
             return
         DECISIONS.add(service=target.service, decision="release")
-        self.note(target, f"release {name}: {decision.reason}", name)
+        self.record(target, f"release {name}: {decision.reason}", name)
         outcome = await self.sender.release(target, name)
         if isinstance(outcome, OrderDone):
             self.servers.mark_terminated(name, "platform")
             self.lease.forget_leaving(name)
-            self.idle_s.pop(name, None)
+            self.idle_since_s.pop(name, None)
 
-    def note(self, target: ServiceTarget, text: str, name: str) -> None:
-        """Write the log line of a decision."""
+    def record(self, target: ServiceTarget, text: str, name: str) -> None:
+        """Log a decision."""
         fencing = self.lease.fencing
         log.info(text, service=target.service, instance=name, fencing=fencing)
--- a/src/rosemaryknot/process/placement/server_orders.py
+++ b/src/rosemaryknot/process/placement/server_orders.py
@@ -1,4 +1,4 @@
-"""Orders that a holder gives to the servers of a service, and reads back."""
+"""Orders from the lease holder to the backend servers of a service."""
 
 import trio
 
@@ -15,66 +15,68 @@
 
 __all__ = ["ServerOrders"]
 
-REPAIR_S = 10.0
-RETRY_S = 3.0
+VERIFY_INTERVAL_S = 10.0
+RETRY_DELAY_S = 3.0
 
 log = logger("placement")
 
 
 class ServerOrders:
-    """Keeps the service's model, and no other, loaded at its servers.
+    """Ensures that the servers of a service have its model, and no other, loaded.
 
     Parameters
     ----------
     sender : OrderSender
-        Gives the orders.
+        Sends the orders.
     client : OrderClient
-        Reads back what is in force.
+        Client that reads the current state of the servers.
 
     Attributes
     ----------
-    due_s : dict of str to float
-        When each server is read back next, in trio time.
+    next_read_s : dict of str to float
+        Time of the next read of each server, in trio time.
+    fenced : set of str
+        Servers that have received the fencing token of this lease.
     """
 
     def __init__(self, sender: OrderSender, client: OrderClient) -> None:
         self.sender = sender
         self.client = client
         self.fencing = 0
-        self.due_s: dict[str, float] = {}
-        self.introduced: set[str] = set()
+        self.next_read_s: dict[str, float] = {}
+        self.fenced: set[str] = set()
 
-    def begin(self, fencing: int) -> None:
-        """Start over with every server, for a new lease."""
+    def reset(self, fencing: int) -> None:
+        """Discard the state of all servers, for a new lease."""
         self.fencing = fencing
-        self.due_s.clear()
-        self.introduced.clear()
+        self.next_read_s.clear()
+        self.fenced.clear()
 
-    async def look(
+    async def update(
         self, target: ServiceTarget, servers: list[BackendServer], fencing: int
     ) -> None:
-        """Look at the servers that are due, all at the same time."""
+        """Update the servers whose next read is due, concurrently."""
         if fencing != self.fencing:
-            self.begin(fencing)
+            self.reset(fencing)
         if not target.is_model or self.sender.refusal(target):
             return
         now_s = trio.current_time()
         live = [s for s in servers if s.state == ServerState.LIVE and s.address]
         names = {server.instance for server in live}
-        self.due_s = {k: v for k, v in self.due_s.items() if k in names}
-        self.introduced &= names
+        self.next_read_s = {k: v for k, v in self.next_read_s.items() if k in names}
+        self.fenced &= names
         async with trio.open_nursery() as nursery:
             for server in live:
-                if self.due_s.get(server.instance, now_s) <= now_s:
-                    nursery.start_soon(self.look_at, target, server)
+                if self.next_read_s.get(server.instance, now_s) <= now_s:
+                    nursery.start_soon(self.update_server, target, server)
 
-    async def look_at(self, target: ServiceTarget, server: BackendServer) -> None:
-        """Read one server back and give it what it lacks."""
+    async def update_server(self, target: ServiceTarget, server: BackendServer) -> None:
+        """Read the state of one server and send the orders that it lacks."""
         name = server.instance
-        self.due_s[name] = trio.current_time() + REPAIR_S
+        self.next_read_s[name] = trio.current_time() + VERIFY_INTERVAL_S
         read = await self.client.read_orders(server)
         if read is None:
-            self.due_s[name] = trio.current_time() + RETRY_S
+            self.next_read_s[name] = trio.current_time() + RETRY_DELAY_S
             return
         self.sender.lease.note_fencing(read.fencing)
         orders = self.missing_orders(target, name, read)
@@ -82,25 +84,25 @@
             outcome = await self.sender.order(target, server, order)
             is_done = isinstance(outcome, OrderDone)
             if is_done:
-                self.introduced.add(name)
+                self.fenced.add(name)
             text = f"{order.order} to {name}: {order_outcome_name(outcome)}"
             model = order.arguments.get("model", "")
             log.info(text, service=target.service, instance=name, model=model)
         if orders:
-            # What an order did is read back at once, and not only when it failed.
-            self.due_s[name] = trio.current_time() + RETRY_S
+            # Read the effect of an order back soon, also if the order succeeded.
+            self.next_read_s[name] = trio.current_time() + RETRY_DELAY_S
 
     def missing_orders(
         self, target: ServiceTarget, name: str, read: OrdersRead
     ) -> list[ServerOrder]:
         """Return the orders that a server needs.
 
-        A server that has not seen this holder's number would still obey the last
-        one, who may wake from a pause. So each is shown the number before anything
-        else is expected of it.
+        A server that has not received the fencing token of this holder would still
+        execute orders of the previous one, whose process may resume after a pause.
+        So the token is sent to each server before any other order.
         """
         orders = []
-        if target.checks_fencing and name not in self.introduced:
+        if target.checks_fencing and name not in self.fenced:
             orders.append(ServerOrder("fence"))
         if not read.models:
             return orders
--- a/src/rosemaryknot/process/planned_stop.py
+++ b/src/rosemaryknot/process/planned_stop.py
@@ -82,7 +82,7 @@
             with self.scope:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self.watch_suspension)
-                    nursery.start_soon(self.end_for_stop)
+                    nursery.start_soon(self.abort_for_shutdown)
                     await self.end_requests()
                     nursery.cancel_scope.cancel()
         finally:
@@ -103,12 +103,12 @@
             passed_s = self.suspended_s() - counted_s
             if passed_s > SUSPENSION_LEAST_S:
                 counted_s += passed_s
-                self.take_off(passed_s)
+                self.shorten_deadlines(passed_s)
 
-    def take_off(self, passed_s: float) -> None:
+    def shorten_deadlines(self, passed_s: float) -> None:
         """End the stop, and what it took in, earlier by a time in suspension."""
         self.listener.stop = self.stop.earlier(passed_s)
-        self.gateway.take_off(passed_s)
+        self.gateway.shorten_deadlines(passed_s)
         now_s = trio.current_time()
         # Those without an answer still get one where the stop is over by now.
         self.scope.deadline = max(self.stop.ends_s, now_s + 2 * ANSWER_S)
@@ -123,10 +123,10 @@
         while (left_s := moment_s() - trio.current_time()) > 0:
             await trio.sleep(min(left_s, SUSPENSION_STEP_S))
 
-    async def end_for_stop(self) -> None:
+    async def abort_for_shutdown(self) -> None:
         """Answer in time those whose answer cannot begin, and bound the rest."""
         await self.reach(lambda: self.stop.ends_s - ANSWER_S)
-        self.gateway.end_for_stop(self.stop.ends_s + LAST_DELIVERY_S)
+        self.gateway.abort_for_shutdown(self.stop.ends_s + LAST_DELIVERY_S)
 
     async def end_requests(self) -> None:
         """Let callers go elsewhere, and wait until none is owed an answer."""
--- a/src/rosemaryknot/request/accounts.py
+++ b/src/rosemaryknot/request/accounts.py
@@ -218,8 +218,8 @@
             return Lack(wait_s, True)
         if tokens:
             bucket.rate = bucket.capacity = limit.tokens_per_minute / 60 * share
-            bucket.fill(trio.current_time())
-            if not bucket.take(tokens):
+            bucket.refill(trio.current_time())
+            if not bucket.acquire(tokens):
                 return Lack(min(bucket.wait_s(tokens), self.owner_wait_s(tokens)))
         self.used_slots += 1
         self.slots = max(self.slots, self.used_slots)
@@ -270,7 +270,7 @@
             return
         if self.is_fallback:
             # The owner never gave these: returned to it they would be minted.
-            self.account.fallback.give_back(self.tokens - used_tokens)
+            self.account.fallback.release(self.tokens - used_tokens)
         else:
             self.account.tokens += self.tokens - used_tokens
 
--- a/src/rosemaryknot/request/course.py
+++ b/src/rosemaryknot/request/course.py
@@ -7,7 +7,7 @@
 from rosemaryknot.request.router import Prompt
 from rosemaryknot.values.nodes import BackendServer
 
-__all__ = ["Course"]
+__all__ = ["RequestContext"]
 
 FIRST_EXCLUSION_S = 0.1
 LONGEST_EXCLUSION_S = 5.0
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Course:
+class RequestContext:
     """Where a generation stands between two attempts.
 
     Attributes
--- a/src/rosemaryknot/request/gateway.py
+++ b/src/rosemaryknot/request/gateway.py
@@ -1,4 +1,4 @@
-"""One request of a caller: admitted, sent to a backend server, answered once."""
+"""Handling of one request: admission, attempts at backend servers, one response."""
 
 from functools import partial
 
@@ -11,17 +11,17 @@
 from rosemaryknot.request.durations import Durations
 from rosemaryknot.request.gateway_attempt import Attempt
 from rosemaryknot.request.gateway_choice import choose_server, refuse_overload
-from rosemaryknot.request.gateway_course import (
+from rosemaryknot.request.gateway_context import (
     UNAVAILABLE,
-    Course,
-    GatewayParts,
-    choice_of,
-    explain_cut,
+    GatewayComponents,
+    RequestContext,
+    abort_log_fields,
     output_tokens,
+    placement_log_fields,
     refusal,
 )
-from rosemaryknot.request.gateway_entry import Entry
 from rosemaryknot.request.gateway_placement import Candidate
+from rosemaryknot.request.gateway_request_admission import RequestAdmission
 from rosemaryknot.values.gateway import GatewayRequest
 from rosemaryknot.values.gateway_answers import (
     Broken,
@@ -32,72 +32,75 @@
     Refusal,
 )
 
-__all__ = ["Gateway", "GatewayParts"]
+__all__ = ["Gateway", "GatewayComponents"]
 
-# Attempts that left no byte at a server cost little; this many may follow each other.
+# Limit of attempts per request that sent no byte to a server. They cost little, so they
+# do not count towards the route's limit of attempts.
 MAX_UNSENT = 3
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
 SERVER_ERROR = 500
-NOT_READ = "the caller did not read it in time"
+CALLER_TOO_SLOW = "the caller did not read it in time"
 
 REQUESTS = counter("gateway_requests_total", "Requests by outcome.")
 ATTEMPTS = counter("gateway_attempts_total", "Attempts at backend servers by outcome.")
-WHOLE = histogram("gateway_answer_seconds", "Time to the end of the answer.")
+RESPONSE_TIME = histogram("gateway_answer_seconds", "Time to the end of the answer.")
 
 log = logger("gateway")
 
 
 class Gateway:
-    """Answers requests.
+    """Request handler of a gateway node.
 
     Parameters
     ----------
-    parts : GatewayParts
-        What it works with.
+    components : GatewayComponents
+        Components that the gateway uses.
 
     Attributes
     ----------
     durations : Durations
-        How long answers have taken.
+        Recent durations of responses.
+    entry : RequestAdmission
+        Admission of requests.
     running : dict of Reply to Course
-        Requests that were admitted and not ended.
+        Requests that were admitted and have not ended.
     """
 
-    def __init__(self, parts: GatewayParts) -> None:
-        self.parts = parts
+    def __init__(self, components: GatewayComponents) -> None:
+        self.components = components
         self.durations = Durations()
-        self.entry = Entry(parts, self.durations)
-        self.running: dict[Reply, Course] = {}
+        self.entry = RequestAdmission(components, self.durations)
+        self.running: dict[Reply, RequestContext] = {}
 
     async def handle(self, request: GatewayRequest, reply: Reply) -> None:
-        """Answer a request."""
-        course = self.entry.admit(request, reply)
-        if isinstance(course, Refusal):
-            await self.refuse(request, reply, course)
+        """Handle a request and send its response."""
+        context = self.entry.admit(request, reply)
+        if isinstance(context, Refusal):
+            await self.refuse(request, reply, context)
             return
-        reply.owed.explain = partial(explain_cut, course)
+        reply.owed.explain = partial(abort_log_fields, context)
         outcome = None
-        with trio.move_on_at(course.until_s) as course.limit:
-            self.running[reply] = course
+        with trio.move_on_at(context.deadline_s) as context.deadline_scope:
+            self.running[reply] = context
             try:
-                outcome = await self.run(course)
+                outcome = await self.run(context)
             finally:
                 del self.running[reply]
         if outcome is None:
-            outcome = self.timed_out(course)
+            outcome = self.timeout_outcome(context)
         if isinstance(outcome, Refusal) and not reply.is_started:
-            await self.refuse(request, reply, outcome, choice_of(course))
+            await self.refuse(request, reply, outcome, placement_log_fields(context))
         else:
-            self.log_end(course, outcome)
+            self.log_outcome(context, outcome)
 
     async def refuse_by_head(self, request: GatewayRequest, reply: Reply) -> bool:
-        """Refuse a request whose body is still to come, where its head is enough.
+        """Refuse a request before its body is read, if its head is sufficient.
 
         Returns
         -------
         is_refused : bool
-            Whether it was; its answer is out then.
+            Whether the request was refused and its response was sent.
         """
         refused = self.entry.refuse_by_head(request)
         if refused is None:
@@ -105,152 +108,161 @@
         await self.refuse(request, reply, refused)
         return True
 
-    def take_off(self, passed_s: float) -> None:
-        """Bring the limits of running requests nearer by a time in suspension.
+    def shorten_deadlines(self, passed_s: float) -> None:
+        """Move the deadlines of running requests earlier by the time of a suspension.
 
-        Their callers did not stand still meanwhile, nor did the end of a planned
-        stop, which these limits have to come before.
+        The time of the callers passed during the suspension, and so did the time until
+        the end of a graceful shutdown, which these deadlines must precede.
         """
-        for course in self.running.values():
-            course.until_s -= passed_s
-            course.limit.deadline -= passed_s
+        for context in self.running.values():
+            context.deadline_s -= passed_s
+            context.deadline_scope.deadline -= passed_s
 
-    def end_for_stop(self, last_s: float) -> None:
-        """End what cannot begin before a stop ends, and bound what is on its way.
+    def abort_for_shutdown(self, last_s: float) -> None:
+        """Abort requests without a response and limit deliveries as a shutdown ends.
 
-        Their callers would see a connection closed without a word, also where nothing
-        has run; an honest failure is still possible, and a started answer may yet end.
+        Without this, callers would see a closed connection and no status, even if
+        nothing has run. Aborted requests still get an error response, and responses
+        that have started may still finish.
 
         Parameters
         ----------
         last_s : float
-            Until when whole answers may still be on their way, in trio time; kept up
-            longer, they would hold the process up until it is killed.
+            Deadline for the delivery of buffered responses, in trio time. A later one
+            would keep the process alive until it is killed.
         """
-        for reply, course in self.running.items():
-            if course.delivery is not None:
-                course.delivery.deadline = min(course.delivery.deadline, last_s)
+        for reply, context in self.running.items():
+            if context.delivery_scope is not None:
+                context.delivery_scope.deadline = min(
+                    context.delivery_scope.deadline, last_s
+                )
             elif not reply.is_started:
-                course.limit.cancel()
+                context.deadline_scope.cancel()
 
     # Attempts.
 
-    async def run(self, course: Course) -> Completed | Refusal | Broken:
-        """Try servers until one answers, or none is left."""
+    async def run(self, context: RequestContext) -> Completed | Refusal | Broken:
+        """Attempt servers until one responds or no further attempt is allowed."""
         while True:
-            candidate = choose_server(self.parts, course)
+            candidate = choose_server(self.components, context)
             if candidate is None:
-                return self.no_server(course)
-            refused = refuse_overload(self.parts, course, candidate)
+                return self.no_server_outcome(context)
+            refused = refuse_overload(self.components, context, candidate)
             if refused is not None:
                 return refused
-            outcome = await self.attempt(course, candidate)
+            outcome = await self.attempt(context, candidate)
             ATTEMPTS.add(outcome=type(outcome).__name__)
             if isinstance(outcome, Completed):
                 return outcome
-            if not self.may_go_on(course, outcome):
-                return self.given_up(course, outcome)
+            if not self.may_try_another(context, outcome):
+                return self.final_failure(context, outcome)
             log.info(
-                "tries another server",
-                request=course.request.id,
+                "attempting another server",
+                request=context.request.id,
                 after=type(outcome).__name__,
                 reason=getattr(outcome, "reason", ""),
-                left_s=round(course.left_s(), 3),
-                **choice_of(course),
+                left_s=round(context.remaining_s(), 3),
+                **placement_log_fields(context),
             )
 
-    def no_server(self, course: Course) -> Refusal:
-        """Return the answer where no server is left."""
-        if course.may_have_run:
+    def no_server_outcome(self, context: RequestContext) -> Refusal:
+        """Return the refusal of a request for which no server is eligible."""
+        if context.may_have_run:
             return Refusal(BAD_GATEWAY, "no other server is left")
-        return refusal(self.parts.rng, UNAVAILABLE, "no server can take the request")
+        return refusal(
+            self.components.rng, UNAVAILABLE, "no server can take the request"
+        )
 
-    def may_go_on(self, course: Course, outcome: object) -> bool:
-        """Tell whether another server may be asked after a failed attempt."""
+    def may_try_another(self, context: RequestContext, outcome: object) -> bool:
+        """Return whether another server may be attempted after a failure."""
         if isinstance(outcome, NotSent):
-            course.unsent += 1
-            return course.unsent <= MAX_UNSENT
-        if course.sent >= course.route.max_attempts:
+            context.unsent += 1
+            return context.unsent <= MAX_UNSENT
+        if context.sent >= context.route.max_attempts:
             return False
-        if not isinstance(outcome, NotRunThere) and not course.route.may_repeat:
+        if not isinstance(outcome, NotRunThere) and not context.route.may_repeat:
             return False
-        if isinstance(outcome, Broken) and course.last_event_id is None:
+        if isinstance(outcome, Broken) and context.last_event_id is None:
             return False
-        return self.parts.may_retry(course.service.name)
+        return self.components.may_retry(context.service.name)
 
-    def given_up(self, course: Course, outcome: object) -> Refusal | Broken:
-        """Return the answer after the last attempt."""
+    def final_failure(
+        self, context: RequestContext, outcome: object
+    ) -> Refusal | Broken:
+        """Return the outcome of a request after its last failed attempt."""
         if isinstance(outcome, Broken):
             return outcome
-        if isinstance(outcome, Lost) or course.may_have_run:
+        if isinstance(outcome, Lost) or context.may_have_run:
             return Refusal(BAD_GATEWAY, getattr(outcome, "reason", "server failed"))
-        return refusal(self.parts.rng, UNAVAILABLE, "the servers are full")
+        return refusal(self.components.rng, UNAVAILABLE, "the servers are full")
 
-    def timed_out(self, course: Course) -> Refusal | Broken | Completed:
-        """Return the answer of a request whose time is over."""
-        if course.reply.is_done:
-            return Completed(course.reply.status)
-        if course.reply.is_started:
+    def timeout_outcome(self, context: RequestContext) -> Refusal | Broken | Completed:
+        """Return the outcome of a request aborted at its deadline or by a shutdown."""
+        if context.reply.is_done:
+            return Completed(context.reply.status)
+        if context.reply.is_started:
             return Broken("the time is over")
-        cause = "the node stops" if course.left_s() > 0 else "the time is over"
-        if course.may_have_run:
+        cause = "the node stops" if context.remaining_s() > 0 else "the time is over"
+        if context.may_have_run:
             return Refusal(GATEWAY_TIMEOUT, f"{cause}; it may have run")
-        return refusal(self.parts.rng, UNAVAILABLE, f"{cause}; it did not run")
+        return refusal(self.components.rng, UNAVAILABLE, f"{cause}; it did not run")
 
     async def attempt(
-        self, course: Course, candidate: Candidate
+        self, context: RequestContext, candidate: Candidate
     ) -> Completed | Broken | Lost | NotRunThere | NotSent:
-        """Send the request to one server and relay its answer."""
+        """Send the request to one server and relay its response."""
         state = candidate.state
-        course.chosen = candidate
-        course.tried.add(state.incarnation)
-        size = course.request.size
+        context.chosen = candidate
+        context.tried.add(state.incarnation)
+        size = context.request.size
         tokens = 0
         if size is not None:
-            tokens = max(0, size.prompt_tokens - candidate.kept_tokens)
-            self.parts.note_work(course.service.name, tokens)
-        attempt = Attempt(self.parts, course, state, tokens, candidate.tokens)
-        self.parts.servers.begin(state, size, tokens)
+            tokens = max(0, size.prompt_tokens - candidate.cached_tokens)
+            self.components.record_work(context.service.name, tokens)
+        attempt = Attempt(self.components, context, state, tokens, candidate.tokens)
+        self.components.servers.begin(state, size, tokens)
         outcome = None
         try:
             outcome = await attempt.run()
         finally:
             if outcome is None:
-                self.judge_cut_off(course, attempt)
-            self.parts.servers.end(state, attempt.waiting_tokens)
-        self.judge(state, outcome)
+                self.record_timeout(context, attempt)
+            self.components.servers.end(state, attempt.waiting_tokens)
+        self.record_outcome(state, outcome)
         return outcome
 
-    def judge_cut_off(self, course: Course, attempt: Attempt) -> None:
-        """Count against a server that it let a request's time pass without a byte.
+    def record_timeout(self, context: RequestContext, attempt: Attempt) -> None:
+        """Record a failure of a server that sent no byte before the deadline.
 
-        Once its last request has ended, a server that went dark owes nothing and
-        looks idle; it would be the next one's choice.
+        Otherwise a server that stopped responding would look idle once its last request
+        has ended, and would be chosen for the next one.
         """
         now_s = trio.current_time()
-        is_late = now_s >= course.until_s
-        if is_late and attempt.state.heard_s < attempt.began_s:
-            self.parts.servers.note_failure(attempt.state, "silent to the end")
+        is_late = now_s >= context.deadline_s
+        if is_late and attempt.state.heard_s < attempt.started_s:
+            self.components.servers.note_failure(
+                attempt.state, "no byte before the deadline"
+            )
 
-    def judge(self, state: ServerState, outcome: object) -> None:
-        """Count what an attempt says of its server."""
-        servers = self.parts.servers
+    def record_outcome(self, state: ServerState, outcome: object) -> None:
+        """Record the outcome of an attempt in the health of its server."""
+        servers = self.components.servers
         if isinstance(outcome, Completed):
             if outcome.status < SERVER_ERROR:
                 servers.note_success(state)
             return
         if isinstance(outcome, NotRunThere) and outcome.status == 421:
-            # Another server has the address now; this one is gone.
+            # Another server uses the address now, so this one has been removed.
             state.is_gone = True
             log.info(
-                "server gone: its address is another's",
+                "server removed: its address is used by another server",
                 server=state.entry.id,
                 born=state.entry.born,
             )
             return
         servers.note_failure(state, getattr(outcome, "reason", "not run"))
 
-    # Ends.
+    # Responses and outcomes.
 
     async def refuse(
         self,
@@ -259,9 +271,9 @@
         refusal: Refusal,
         choice: dict[str, object] | None = None,
     ) -> None:
-        """Answer a request ourselves; the log tells the last choice of a server."""
+        """Send a refusal and log it with the last choice of a server."""
         REQUESTS.add(outcome=str(refusal.status))
-        configuration = self.parts.configuration()
+        configuration = self.components.configuration()
         log.info(
             "refused",
             request=request.id,
@@ -269,12 +281,12 @@
             reason=refusal.reason,
             retry_after_s=refusal.retry_after_s,
             version=None if configuration is None else configuration.version,
-            newest_version=self.parts.newest_version(),
+            newest_version=self.components.newest_version(),
             took_s=round(trio.current_time() - request.arrived_s, 3),
             **(choice or {}),
         )
         body = (refusal.reason + "\n").encode()
-        headers = self.parts.wire.refusal_headers(request)
+        headers = self.components.wire.refusal_headers(request)
         headers.append((b"content-type", b"text/plain"))
         headers.append((b"content-length", str(len(body)).encode()))
         if refusal.retry_after_s is not None:
@@ -282,27 +294,29 @@
             headers.append((b"retry-after", seconds))
         await reply.whole(refusal.status, headers, body)
 
-    def log_end(self, course: Course, outcome: object) -> None:
-        """Log how a request ended that got an answer of a server."""
-        took_s = trio.current_time() - course.request.arrived_s
-        is_whole = isinstance(outcome, Completed) and course.reply.is_done
+    def log_outcome(self, context: RequestContext, outcome: object) -> None:
+        """Log the outcome of a request and record its duration."""
+        took_s = trio.current_time() - context.request.arrived_s
+        is_whole = isinstance(outcome, Completed) and context.reply.is_done
         if is_whole:
-            tokens = output_tokens(course.request)
+            tokens = output_tokens(context.request)
             now_s = trio.current_time()
-            self.durations.note(course.route.name, took_s, tokens, now_s)
+            self.durations.note(context.route.name, took_s, tokens, now_s)
         REQUESTS.add(outcome=type(outcome).__name__)
-        WHOLE.observe(took_s)
+        RESPONSE_TIME.observe(took_s)
         log.info(
             "answered" if is_whole else "broke off",
-            request=course.request.id,
-            route=course.route.name,
-            version=course.version,
+            request=context.request.id,
+            route=context.route.name,
+            version=context.version,
             status=getattr(outcome, "status", None),
-            reason=getattr(outcome, "reason", None if is_whole else NOT_READ),
-            servers=len(course.tried),
+            reason=getattr(outcome, "reason", None if is_whole else CALLER_TOO_SLOW),
+            servers=len(context.tried),
             took_s=round(took_s, 3),
-            first_s=None if course.first_s is None else round(course.first_s, 3),
-            pause_s=round(course.pause_s, 3),
-            sent_bytes=course.reply.owed.sent_bytes,
-            **choice_of(course),
+            first_s=None
+            if context.first_byte_s is None
+            else round(context.first_byte_s, 3),
+            pause_s=round(context.max_event_gap_s, 3),
+            sent_bytes=context.reply.owed.sent_bytes,
+            **placement_log_fields(context),
         )
--- a/src/rosemaryknot/request/gateway_admission.py
+++ b/src/rosemaryknot/request/gateway_admission.py
@@ -1,11 +1,12 @@
-"""Whether a model request goes to the server chosen for it, or is refused at once.
-
-Load pattern: servers are taken back within a burst, and for some seconds prompts come
-faster than those that stay can read them. An engine with free slots reads prompts as
-they come, whatever their rank, so each one that is let in delays all behind it. Without
-a limit they pile up and all get their first event late until the pile is read; with
-one, those that are let in are in time, and the others come back when there is room.
-The least urgent ones are refused first, since urgent callers have the least patience.
+"""Admission rules for model requests at the server chosen for them.
+
+Load pattern: servers are reclaimed during a burst, and for some seconds prompts arrive
+faster than the remaining servers can prefill them. An engine with free slots prefills
+prompts in order of arrival, whatever their priority, so each admitted prompt delays all
+behind it. Without a limit a backlog builds up, and all requests get their first event
+late until it is processed. With a limit, admitted requests are on time, and refused
+ones are retried when there is free capacity. Requests with the lowest priority are
+refused first, since callers of urgent requests have the shortest timeouts.
 """
 
 from collections.abc import Callable
@@ -15,49 +16,49 @@
     "ADMISSIONS",
     "Admission",
     "AdmissionInput",
+    "admission_retry_after_s",
     "admission_rule",
-    "return_after_s",
 ]
 
-# Longest wait for the prompts ahead, in wanted waits, at which a request of the least
-# urgent rank is let in. Its own prompt does not count: a long one at an idle server is
-# late whenever it comes back, and delays nobody.
-LEAST_URGENT_WAITS = 0.65
-# The same for more urgent ones: most of what such a caller waits at all.
-URGENT_WAITS = 4.0
-# Callers come back within a third of what they have left, whatever they are told.
-RETURN_SHARE = 1 / 3
+# Longest wait for queued prompts, as a multiple of the target time to the first event,
+# at which a request of the lowest priority is admitted. Its own prompt does not count:
+# a long one at an idle server is late whenever it is retried, and delays no other.
+LOWEST_PRIORITY_MAX_WAITS = 0.65
+# The same limit for higher priorities: most of the time for which such a caller waits.
+HIGHER_PRIORITY_MAX_WAITS = 4.0
+# Callers retry within a third of their remaining time, whatever Retry-After says.
+MAX_RETRY_AFTER_SHARE = 1 / 3
 
 
 @dataclass(slots=True)
 class AdmissionInput:
-    """What an admission is decided from.
+    """Input of an admission rule.
 
     Attributes
     ----------
-    is_least_urgent : bool
-        Whether no kind of request of this service is less urgent.
-    ahead_s : float
-        Until the chosen server has read the prompts that it has: their unread tokens
-        by the rate at which servers read, in seconds.
-    own_s : float
-        The same for this request's own prompt.
+    is_lowest_priority : bool
+        Whether no route to the service has requests of a lower priority.
+    queued_prefill_s : float
+        Estimated time in which the chosen server prefills its queued prompts: their
+        prefill tokens divided by the prefill rate of the servers, in seconds.
+    own_prefill_s : float
+        Estimated prefill time of this request's own prompt, in seconds.
     target_s : float
-        Wanted time to the first event, in seconds.
-    left_s : float
-        Until the caller gives up, in seconds.
+        Target time to the first event, in seconds.
+    remaining_s : float
+        Time until the deadline of the caller, in seconds.
     """
 
-    is_least_urgent: bool
-    ahead_s: float
-    own_s: float
+    is_lowest_priority: bool
+    queued_prefill_s: float
+    own_prefill_s: float
     target_s: float
-    left_s: float
+    remaining_s: float
 
     @property
     def wait_s(self) -> float:
-        """Time until the first event, in seconds."""
-        return self.ahead_s + self.own_s
+        """Estimated time to the first event, in seconds."""
+        return self.queued_prefill_s + self.own_prefill_s
 
 
 Admission = Callable[[AdmissionInput], str]
@@ -65,7 +66,7 @@
 
 
 def admission_rule(name: str) -> Callable[[Admission], Admission]:
-    """Register a rule under a name."""
+    """Return a decorator that registers an admission rule under a name."""
 
     def register(rule: Admission) -> Admission:
         ADMISSIONS[name] = rule
@@ -75,58 +76,64 @@
 
 
 @admission_rule("all")
-def admit_all(given: AdmissionInput) -> str:
-    """Refuse nothing."""
+def admit_all(inputs: AdmissionInput) -> str:
+    """Admit every request."""
     return ""
 
 
 @admission_rule("in_time")
-def refuse_hopeless(given: AdmissionInput) -> str:
-    """Refuse what would get its first event after its caller has gone.
+def refuse_past_deadline(inputs: AdmissionInput) -> str:
+    """Refuse a request whose first event would come after its deadline.
 
     Examples
     --------
-    >>> refuse_hopeless(AdmissionInput(False, 3.4, 0.1, 0.5, 3.0))
+    >>> refuse_past_deadline(AdmissionInput(False, 3.4, 0.1, 0.5, 3.0))
     'the first event would come too late'
-    >>> refuse_hopeless(AdmissionInput(False, 2.4, 0.1, 0.5, 3.0))
+    >>> refuse_past_deadline(AdmissionInput(False, 2.4, 0.1, 0.5, 3.0))
     ''
     """
-    if given.wait_s > given.left_s:
+    if inputs.wait_s > inputs.remaining_s:
         return "the first event would come too late"
     return ""
 
 
 @admission_rule("by_rank")
-def keep_waits_short(given: AdmissionInput) -> str:
-    """Refuse what is hopeless, and what would wait too long for its rank.
+def limit_wait_by_priority(inputs: AdmissionInput) -> str:
+    """Refuse a request that cannot meet its deadline or the limit of its priority.
 
     Examples
     --------
-    >>> keep_waits_short(AdmissionInput(True, 0.5, 0.1, 0.6, 15.0))
+    >>> limit_wait_by_priority(AdmissionInput(True, 0.5, 0.1, 0.6, 15.0))
     'the servers have more prompts than they can read in time'
-    >>> keep_waits_short(AdmissionInput(False, 0.7, 0.1, 0.5, 3.0))
+    >>> limit_wait_by_priority(AdmissionInput(False, 0.7, 0.1, 0.5, 3.0))
     ''
-    >>> keep_waits_short(AdmissionInput(True, 0.0, 0.8, 0.6, 15.0))
+    >>> limit_wait_by_priority(AdmissionInput(True, 0.0, 0.8, 0.6, 15.0))
     ''
     """
-    hopeless = refuse_hopeless(given)
-    if hopeless or given.target_s <= 0:
-        return hopeless
-    waits = LEAST_URGENT_WAITS if given.is_least_urgent else URGENT_WAITS
-    if given.ahead_s > waits * given.target_s:
+    reason = refuse_past_deadline(inputs)
+    if reason or inputs.target_s <= 0:
+        return reason
+    max_waits = (
+        LOWEST_PRIORITY_MAX_WAITS
+        if inputs.is_lowest_priority
+        else HIGHER_PRIORITY_MAX_WAITS
+    )
+    if inputs.queued_prefill_s > max_waits * inputs.target_s:
         return "the servers have more prompts than they can read in time"
     return ""
 
 
-def return_after_s(given: AdmissionInput) -> float:
-    """Return when the pile is short enough again, within what callers heed.
+def admission_retry_after_s(inputs: AdmissionInput) -> float:
+    """Return the time until the queue is short enough again, in seconds.
+
+    It is limited to the time within which callers retry in any case.
 
     Examples
     --------
-    >>> return_after_s(AdmissionInput(True, 1.5, 0.1, 0.5, 15.0))
+    >>> admission_retry_after_s(AdmissionInput(True, 1.5, 0.1, 0.5, 15.0))
     1.0
-    >>> return_after_s(AdmissionInput(True, 9.5, 0.1, 0.5, 15.0))
+    >>> admission_retry_after_s(AdmissionInput(True, 9.5, 0.1, 0.5, 15.0))
     5.0
     """
-    drained_s = max(given.ahead_s - given.target_s, 0.0)
-    return min(drained_s, given.left_s * RETURN_SHARE)
+    drained_s = max(inputs.queued_prefill_s - inputs.target_s, 0.0)
+    return min(drained_s, inputs.remaining_s * MAX_RETRY_AFTER_SHARE)
--- a/src/rosemaryknot/request/gateway_attempt.py
+++ b/src/rosemaryknot/request/gateway_attempt.py
@@ -1,4 +1,4 @@
-"""One request at one backend server: sent, and its answer relayed."""
+"""One attempt at a backend server: sends the request and relays the response."""
 
 import math
 
@@ -10,7 +10,7 @@
 from rosemaryknot.process.server_state import ServerState
 from rosemaryknot.request.event_stream import EventSplitter
 from rosemaryknot.request.gateway_choice import usable_servers
-from rosemaryknot.request.gateway_course import Course, GatewayParts
+from rosemaryknot.request.gateway_context import GatewayComponents, RequestContext
 from rosemaryknot.values.gateway import Repeat
 from rosemaryknot.values.gateway_answers import (
     AnswerHead,
@@ -23,13 +23,13 @@
 
 __all__ = ["Attempt"]
 
-# Without a first byte for this many times the wanted latency, a request that may be
-# repeated is tried elsewhere: servers that turned slow or mute take eight times as
-# long as others.
-REPEAT_PATIENCE = 2.0
-MIN_REPEAT_PATIENCE_S = 0.3
-# Longest that the delivery of a whole answer goes on after its time.
-DELIVERY_S = 1.0
+# A request that may be repeated is sent to another server if no byte has arrived within
+# this multiple of the target latency. Servers that became slow or stopped responding
+# take eight times as long as others.
+FIRST_BYTE_TIMEOUT_FACTOR = 2.0
+MIN_FIRST_BYTE_TIMEOUT_S = 0.3
+# How long a buffered response may still be delivered after the request's deadline.
+DELIVERY_GRACE_S = 1.0
 OK = 200
 SERVER_ERROR = 500
 
@@ -37,42 +37,56 @@
 
 
 class Attempt:
-    """One request at one server.
+    """One attempt to run a request at one server.
+
+    Parameters
+    ----------
+    components : GatewayComponents
+        Components of the gateway.
+    context : RequestContext
+        Context of the request.
+    state : ServerState
+        Server of the attempt.
+    tokens : int
+        Prompt tokens that the server has to prefill for this request.
+    tokens_ahead : int
+        Prompt tokens queued at the server when it was chosen.
 
     Attributes
     ----------
     waiting_tokens : int
-        Tokens that the server has not read yet, as far as is known.
+        Prompt tokens of this request that the server has not prefilled yet, as far as
+        is known.
     """
 
     def __init__(
         self,
-        parts: GatewayParts,
-        course: Course,
+        components: GatewayComponents,
+        context: RequestContext,
         state: ServerState,
         tokens: int,
-        ahead: int,
+        tokens_ahead: int,
     ) -> None:
-        self.parts = parts
-        self.course = course
+        self.components = components
+        self.context = context
         self.state = state
         self.waiting_tokens = tokens
-        self.ahead = ahead
-        self.began_s = trio.current_time()
+        self.tokens_ahead = tokens_ahead
+        self.started_s = trio.current_time()
 
     async def run(self) -> Completed | Broken | Lost | NotRunThere | NotSent:
-        """Send, read the head, relay the body."""
-        course = self.course
-        # A server may close a kept connection just as a request goes out on it. One
-        # that may not be repeated would be lost with it, so it dials anew.
-        connection = await self.parts.pool.take(
-            self.state.entry, course.route.may_repeat
+        """Send the request, read the response head and relay the body."""
+        context = self.context
+        # A server may close an idle connection just as a request is sent on it. A
+        # request that may not be repeated would be lost, so it gets a new connection.
+        connection = await self.components.pool.take(
+            self.state.entry, context.route.may_repeat
         )
         if isinstance(connection, NotSent):
             return connection
         if not self.state.takes_work(trio.current_time()):
-            # It was chosen before the connection was opened, which may take most of
-            # the time that it serves on.
+            # The server was chosen before the connection was opened, and opening it may
+            # take most of the time for which a draining server still serves requests.
             await connection.aclose()
             return NotSent("the server leaves")
         try:
@@ -82,7 +96,7 @@
                 await connection.aclose()
             raise
         if isinstance(outcome, Completed):
-            await self.parts.pool.give_back(connection)
+            await self.components.pool.give_back(connection)
         else:
             await connection.aclose()
         return outcome
@@ -90,25 +104,25 @@
     async def exchange(
         self, connection: ServerConnection
     ) -> Completed | Broken | Lost | NotRunThere:
-        """Send the request and relay the answer over an open connection."""
-        course = self.course
-        request = course.request
-        course.sent += 1
+        """Send the request and relay the response over an open connection."""
+        context = self.context
+        request = context.request
+        context.sent += 1
         await connection.send(
             request.method,
             request.target,
-            self.parts.wire.server_headers(
+            self.components.wire.server_headers(
                 request,
                 self.state.entry,
-                None if course.customer is None else course.customer.name,
-                course.left_s(),
-                None if course.service.engine is None else course.rank,
-                course.last_event_id or request.last_event_id,
+                None if context.customer is None else context.customer.name,
+                context.remaining_s(),
+                None if context.service.engine is None else context.priority,
+                context.last_event_id or request.last_event_id,
             ),
             request.body,
         )
-        before = course.may_have_run
-        course.may_have_run = True
+        before = context.may_have_run
+        context.may_have_run = True
         if connection.is_sent:
             outcome = await self.receive(connection)
         else:
@@ -117,71 +131,71 @@
                 outcome = await self.receive(connection)
                 nursery.cancel_scope.cancel()
         if isinstance(outcome, NotRunThere):
-            course.may_have_run = before
+            context.may_have_run = before
         return outcome
 
-    def patience_s(self) -> float:
-        """Return how long to wait for a first byte before trying elsewhere.
+    def first_byte_timeout_s(self) -> float:
+        """Return how long to wait for the first byte before another attempt.
 
-        Without another server there is no elsewhere, and a late answer is better
-        than none.
+        Without another eligible server the wait is not limited, since a late response
+        is better than none.
         """
-        course = self.course
-        route = course.route
-        if not route.may_repeat or course.sent >= route.max_attempts:
+        context = self.context
+        route = context.route
+        if not route.may_repeat or context.sent >= route.max_attempts:
             return math.inf
-        if not usable_servers(self.parts, course):
+        if not usable_servers(self.components, context):
             return math.inf
-        return max(route.target_s * REPEAT_PATIENCE, MIN_REPEAT_PATIENCE_S)
+        return max(route.target_s * FIRST_BYTE_TIMEOUT_FACTOR, MIN_FIRST_BYTE_TIMEOUT_S)
 
     async def receive(
         self, connection: ServerConnection
     ) -> Completed | Broken | Lost | NotRunThere:
-        """Read the head of the answer and relay what follows."""
+        """Read the head of the response and relay the rest."""
         head: AnswerHead | Lost = Lost("no answer in time")
-        with trio.move_on_after(self.patience_s()):
-            head = await connection.head(self.parts.wire, self.course.request.id)
+        with trio.move_on_after(self.first_byte_timeout_s()):
+            head = await connection.head(self.components.wire, self.context.request.id)
         if isinstance(head, Lost):
-            self.note_run()
+            self.record_run()
             return head
         self.state.heard_s = trio.current_time()
         if head.not_run:
             return NotRunThere(head.status)
-        if self.course.reply.is_started and head.status != OK:
-            # The caller has the beginning of a stream; a status cannot follow it.
-            return Broken(f"not resumed: {head.status}", self.course.last_event_id)
+        if self.context.reply.is_started and head.status != OK:
+            # The caller already has part of the stream, so no status can be sent.
+            return Broken(f"not resumed: {head.status}", self.context.last_event_id)
         if not head.is_signed and head.status < SERVER_ERROR:
             return Lost("an answer that is not the server's own")
-        if head.status >= SERVER_ERROR and self.may_repeat_failure():
-            self.note_run()
+        if head.status >= SERVER_ERROR and self.may_retry_failure():
+            self.record_run()
             return Lost(f"the server answered {head.status}")
         return await self.relay(connection, head)
 
-    def may_repeat_failure(self) -> bool:
-        """Tell whether a server's failure is worth another attempt."""
-        course = self.course
+    def may_retry_failure(self) -> bool:
+        """Return whether the request may be attempted again after a server error."""
+        context = self.context
         return (
-            course.route.may_repeat
-            and not course.reply.is_started
-            and course.sent < course.route.max_attempts
+            context.route.may_repeat
+            and not context.reply.is_started
+            and context.sent < context.route.max_attempts
         )
 
     async def relay(
         self, connection: ServerConnection, head: AnswerHead
     ) -> Completed | Broken | Lost:
-        """Pass the answer on."""
-        if self.course.route.repeat == Repeat.STREAM and head.status < 300:
+        """Relay the response to the caller."""
+        if self.context.route.repeat == Repeat.STREAM and head.status < 300:
             return await self.relay_events(connection, head)
-        self.note_run()
-        return await self.relay_whole(connection, head)
+        self.record_run()
+        return await self.relay_buffered(connection, head)
 
-    async def relay_whole(
+    async def relay_buffered(
         self, connection: ServerConnection, head: AnswerHead
     ) -> Completed | Lost:
-        """Read a whole answer, then pass it on in one write.
+        """Read the whole response, then send it to the caller in one write.
 
-        Passed on as it comes, an answer that breaks off could no longer be tried
-        elsewhere.
+        If it were relayed as it arrives, a response that is interrupted could no longer
+        be replaced by that of another server.
         """
         body = bytearray()
         async for chunk in connection.chunks():
@@ -190,74 +204,80 @@
             body += chunk
         headers = [pair for pair in head.headers if pair[0] != b"content-length"]
         headers.append((b"content-length", str(len(body)).encode()))
-        self.note_first()
-        self.course.reply.owed.phase = Phase.DELIVERY
-        # An answer that is there is delivered, also where its time ends just now: cut
-        # here, the caller would see a closed connection instead of it.
-        late_s = max(trio.current_time(), self.course.until_s) + DELIVERY_S
-        with trio.CancelScope(deadline=late_s, shield=True) as scope:
-            self.course.delivery = scope
-            await self.course.reply.whole(head.status, headers, bytes(body))
+        self.record_first_byte()
+        self.context.reply.owed.phase = Phase.DELIVERY
+        # A complete response is delivered even if the deadline passes now. If it were
+        # aborted here, the caller would see a closed connection instead.
+        end_s = max(trio.current_time(), self.context.deadline_s) + DELIVERY_GRACE_S
+        with trio.CancelScope(deadline=end_s, shield=True) as scope:
+            self.context.delivery_scope = scope
+            await self.context.reply.whole(head.status, headers, bytes(body))
         return Completed(head.status)
 
     async def relay_events(
         self, connection: ServerConnection, head: AnswerHead
     ) -> Completed | Broken | Lost:
-        """Pass the events of a stream on as they come, each one whole."""
-        course = self.course
+        """Relay the events of a stream as they arrive, only complete ones."""
+        context = self.context
         splitter = EventSplitter()
         async for chunk in connection.chunks():
             if isinstance(chunk, Lost):
-                self.note_run()
-                course.last_event_id = splitter.last_id or course.last_event_id
-                if course.reply.is_started:
-                    return Broken(chunk.reason, course.last_event_id)
+                self.record_run()
+                context.last_event_id = splitter.last_id or context.last_event_id
+                if context.reply.is_started:
+                    return Broken(chunk.reason, context.last_event_id)
                 return chunk
             self.state.heard_s = trio.current_time()
             events = splitter.feed(chunk)
             if events:
-                await self.pass_events(head, events)
+                await self.forward_events(head, events)
         if splitter.rest:
-            await self.pass_events(head, bytes(splitter.rest))
-        if not course.reply.is_started:
-            await course.reply.start(head.status, stream_headers(head))
-        await course.reply.end()
+            await self.forward_events(head, bytes(splitter.rest))
+        if not context.reply.is_started:
+            await context.reply.start(head.status, stream_headers(head))
+        await context.reply.end()
         return Completed(head.status)
 
-    async def pass_events(self, head: AnswerHead, events: bytes) -> None:
-        """Send whole events to the caller."""
-        reply = self.course.reply
-        self.note_run()
+    async def forward_events(self, head: AnswerHead, events: bytes) -> None:
+        """Send complete events to the caller."""
+        reply = self.context.reply
+        self.record_run()
         if not reply.is_started:
-            self.note_first()
+            self.record_first_byte()
             await reply.start(head.status, stream_headers(head))
-        self.course.note_events(trio.current_time())
+        self.context.record_events(trio.current_time())
         await reply.data(events)
 
-    def note_first(self) -> None:
-        """Count the first bytes to the caller."""
+    def record_first_byte(self) -> None:
+        """Record the time to the first bytes sent to the caller."""
         now_s = trio.current_time()
-        self.course.first_s = now_s - self.course.request.arrived_s
-        FIRST_BYTE.observe(self.course.first_s)
+        self.context.first_byte_s = now_s - self.context.request.arrived_s
+        FIRST_BYTE.observe(self.context.first_byte_s)
         if self.waiting_tokens:
-            self.parts.servers.first_event(
-                self.state, self.waiting_tokens, self.ahead, now_s - self.began_s
+            self.components.servers.first_event(
+                self.state,
+                self.waiting_tokens,
+                self.tokens_ahead,
+                now_s - self.started_s,
             )
             self.waiting_tokens = 0
 
-    def note_run(self) -> None:
-        """Count that the request began to run, once for all its attempts."""
-        if self.waiting_tokens and self.course.reply.is_started:
+    def record_run(self) -> None:
+        """Record that the request began to run, once for all of its attempts."""
+        if self.waiting_tokens and self.context.reply.is_started:
             self.state.waiting_tokens -= self.waiting_tokens
             self.waiting_tokens = 0
-        course = self.course
-        if course.is_counted:
+        context = self.context
+        if context.is_run_recorded:
             return
-        course.is_counted = True
-        if course.customer is not None:
-            self.parts.note_run(course.customer.name)
+        context.is_run_recorded = True
+        if context.customer is not None:
+            self.components.record_run(context.customer.name)
 
 
 def stream_headers(head: AnswerHead) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a stream, whose length its first server cannot know."""
+    """Return the headers of a stream without its length.
+
+    A stream may be resumed at another server, so the first one cannot know the length.
+    """
     return [pair for pair in head.headers if pair[0] != b"content-length"]
--- a/src/rosemaryknot/request/gateway_choice.py
+++ b/src/rosemaryknot/request/gateway_choice.py
@@ -1,4 +1,4 @@
-"""What this node knows of the servers, put before the decisions on a request."""
+"""Inputs for placement and admission, collected from the server table."""
 
 import trio
 
@@ -7,19 +7,19 @@
 from rosemaryknot.request.gateway_admission import (
     ADMISSIONS,
     AdmissionInput,
-    return_after_s,
+    admission_retry_after_s,
 )
-from rosemaryknot.request.gateway_course import (
+from rosemaryknot.request.gateway_context import (
     UNAVAILABLE,
-    Course,
-    GatewayParts,
+    GatewayComponents,
+    RequestContext,
     refusal,
 )
 from rosemaryknot.request.gateway_placement import (
     POLICIES,
     Candidate,
     PlacementInput,
-    usable,
+    eligible_servers,
 )
 from rosemaryknot.values.gateway_answers import Refusal
 
@@ -28,79 +28,91 @@
 log = logger("gateway")
 
 
-def usable_servers(parts: GatewayParts, course: Course) -> list[ServerState]:
-    """Return the servers that a request may still go to."""
-    name = course.service.name
-    states = [s for s in parts.servers.by_id.values() if s.entry.service == name]
-    is_model = course.service.engine is not None
-    return usable(states, trio.current_time(), course.tried, is_model)
+def usable_servers(
+    components: GatewayComponents, context: RequestContext
+) -> list[ServerState]:
+    """Return the servers that are eligible for the next attempt of a request."""
+    name = context.service.name
+    states = [s for s in components.servers.by_id.values() if s.entry.service == name]
+    is_model = context.service.engine is not None
+    return eligible_servers(states, trio.current_time(), context.tried, is_model)
 
 
-def choose_server(parts: GatewayParts, course: Course) -> Candidate | None:
-    """Choose a backend server for a request, None where there is none."""
-    is_model = course.service.engine is not None
-    size = course.request.size if is_model else None
+def choose_server(
+    components: GatewayComponents, context: RequestContext
+) -> Candidate | None:
+    """Return the backend server for a request, or None if no server is eligible."""
+    is_model = context.service.engine is not None
+    size = context.request.size if is_model else None
     candidates = []
-    for state in usable_servers(parts, course):
+    for state in usable_servers(components, context):
         requests, tokens = state.load()
-        kept = 0
+        cached_tokens = 0
         if size is not None:
-            kept = parts.servers.kept.tokens(state, size)
-        candidates.append(Candidate(state, requests, tokens, kept, state.failures))
+            cached_tokens = components.servers.kept.tokens(state, size)
+        candidates.append(
+            Candidate(state, requests, tokens, cached_tokens, state.failures)
+        )
     policy = "least_busy" if size is None else "unread_tokens"
-    if parts.servers.is_told_late:
+    if components.servers.is_told_late:
         policy += "_of_drawn"
-    given = PlacementInput(parts.zone, size, candidates, parts.rng)
+    inputs = PlacementInput(components.zone, size, candidates, components.rng)
     if size is not None:
-        note_prompt(parts, course, given)
-    return POLICIES[policy](given)
+        record_prompt(components, context, inputs)
+    return POLICIES[policy](inputs)
 
 
-def note_prompt(parts: GatewayParts, course: Course, given: PlacementInput) -> None:
-    """Tell a choice what long prompts are here, and count this one, once."""
-    mix = parts.servers.mixes[course.service.name]
-    given.pause_tokens = course.shortest_pause_s * parts.servers.rate
-    given.long_share = mix.long_share
-    if not course.tried:
-        mix.note(given.unread_tokens, given.is_long)
+def record_prompt(
+    components: GatewayComponents, context: RequestContext, inputs: PlacementInput
+) -> None:
+    """Set the inputs that classify long prompts and record this prompt once.
+
+    Only the first attempt of a request is recorded in the prompt mix.
+    """
+    mix = components.servers.mixes[context.service.name]
+    inputs.event_gap_tokens = context.min_event_gap_s * components.servers.rate
+    inputs.long_share = mix.long_share
+    if not context.tried:
+        mix.note(inputs.prefill_tokens, inputs.is_long)
 
 
 def refuse_overload(
-    parts: GatewayParts, course: Course, candidate: Candidate
+    components: GatewayComponents, context: RequestContext, candidate: Candidate
 ) -> Refusal | None:
-    """Refuse a model request whose server has too much to read, before it is sent.
+    """Return a refusal if prefill work is queued too long at the chosen server.
 
-    Nothing is refused before the rate at which servers read is known.
+    The check applies to model requests before their first attempt is sent. Nothing is
+    refused before the prefill rate of the servers has been measured.
     """
-    size = course.request.size
-    rate = parts.servers.measured_rate()
-    if course.tried or size is None or rate is None:
+    size = context.request.size
+    rate = components.servers.measured_rate()
+    if context.tried or size is None or rate is None:
         return None
-    unread = size.prompt_tokens - candidate.kept_tokens
-    given = AdmissionInput(
-        course.is_least_urgent,
+    prefill_tokens = size.prompt_tokens - candidate.cached_tokens
+    inputs = AdmissionInput(
+        context.is_lowest_priority,
         candidate.tokens / rate,
-        unread / rate,
-        course.route.target_s,
-        course.left_s(),
+        prefill_tokens / rate,
+        context.route.target_s,
+        context.remaining_s(),
     )
-    reason = ADMISSIONS["by_rank"](given)
+    reason = ADMISSIONS["by_rank"](inputs)
     if not reason:
         return None
     log.info(
         "servers overloaded",
-        request=course.request.id,
+        request=context.request.id,
         server=candidate.state.entry.id,
         server_born=candidate.state.entry.born,
         tokens_there=candidate.tokens,
-        unread=unread,
+        unread=prefill_tokens,
         rate=round(rate),
-        ahead_s=round(given.ahead_s, 3),
-        own_s=round(given.own_s, 3),
-        target_s=given.target_s,
-        left_s=round(given.left_s, 3),
-        rank=course.rank,
+        ahead_s=round(inputs.queued_prefill_s, 3),
+        own_s=round(inputs.own_prefill_s, 3),
+        target_s=inputs.target_s,
+        left_s=round(inputs.remaining_s, 3),
+        rank=context.priority,
     )
-    if course.customer is not None and course.units:
-        parts.give_back_quota(course.customer, course.units)
-    return refusal(parts.rng, UNAVAILABLE, reason, return_after_s(given))
+    if context.customer is not None and context.units:
+        components.release_quota(context.customer, context.units)
+    return refusal(components.rng, UNAVAILABLE, reason, admission_retry_after_s(inputs))
--- /dev/null
+++ b/src/rosemaryknot/request/gateway_context.py
@@ -0,0 +1,259 @@
+"""State of one request in a gateway, and the components that handle it."""
+
+import math
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import trio
+
+from rosemaryknot.connection.gateway_caller import Reply
+from rosemaryknot.connection.gateway_server import ServerPool
+from rosemaryknot.process.gateway_servers import ServerTable
+from rosemaryknot.request.gateway_placement import Candidate
+from rosemaryknot.values.gateway import (
+    CustomerLimit,
+    GatewayConfiguration,
+    GatewayRequest,
+    GatewayRoute,
+    GatewayService,
+)
+from rosemaryknot.values.gateway_answers import GatewayWire, PlannedStop, Refusal
+from rosemaryknot.values.incarnation import ServerIncarnation
+
+__all__ = [
+    "MIN_RETRY_AFTER_S",
+    "UNAVAILABLE",
+    "GatewayComponents",
+    "RequestContext",
+    "abort_log_fields",
+    "output_tokens",
+    "placement_log_fields",
+    "refusal",
+]
+
+# Uniformly distributed jitter added to Retry-After, so that refused callers do not all
+# retry at the same time.
+RETRY_JITTER_S = 0.4
+MIN_RETRY_AFTER_S = 0.05
+# Status of a request that has not run and will not run; sent with Retry-After.
+UNAVAILABLE = 503
+# Lowest priority that servers accept; 0 is the highest.
+LOWEST_PRIORITY = 9
+
+
+@dataclass(slots=True)
+class GatewayComponents:
+    """Components that a gateway uses to handle requests.
+
+    Attributes
+    ----------
+    zone : str
+        Availability zone of this node.
+    wire : GatewayWire
+        Header names and formats of the platform.
+    configuration : callable
+        Returns the current configuration, or None.
+    newest_version : callable
+        Returns the newest configuration version reported by any gateway.
+    is_behind : callable
+        Returns whether another gateway recently reported a newer version.
+    servers : ServerTable
+        Known backend servers.
+    pool : ServerPool
+        Connections to the backend servers.
+    acquire_quota : callable
+        Acquires units of a customer's limit. Takes the customer and the units; returns
+        0 if they were acquired, otherwise the seconds until they are available.
+    release_quota : callable
+        Releases units that were acquired and not used. Takes the customer and the
+        units.
+    explain_quota : callable
+        Takes a customer; returns the values from which the last result of
+        ``acquire_quota`` was computed, for the log.
+    may_retry : callable
+        Takes a service name; returns whether one more attempt is within the retry
+        budget, and counts it if so.
+    record_request : callable
+        Takes a service name; counts a request for the retry budget.
+    record_run : callable
+        Takes a customer name; counts a request that began to run.
+    record_work : callable
+        Takes a service name and prompt tokens to prefill; counts the demand.
+    stop : callable
+        Returns the graceful shutdown in progress, or None.
+    is_alone : callable
+        Returns whether no other node of the zone is known.
+    rng : random.Random
+        Adds jitter to retry times and breaks ties.
+    """
+
+    zone: str
+    wire: GatewayWire
+    configuration: Callable[[], GatewayConfiguration | None]
+    newest_version: Callable[[], int]
+    is_behind: Callable[[], bool]
+    servers: ServerTable
+    pool: ServerPool
+    acquire_quota: Callable[[CustomerLimit, float], float]
+    release_quota: Callable[[CustomerLimit, float], None]
+    explain_quota: Callable[[CustomerLimit], dict[str, float]]
+    may_retry: Callable[[str], bool]
+    record_request: Callable[[str], None]
+    record_run: Callable[[str], None]
+    record_work: Callable[[str, int], None]
+    stop: Callable[[], PlannedStop | None]
+    is_alone: Callable[[], bool]
+    rng: random.Random
+
+
+@dataclass(slots=True)
+class RequestContext:
+    """Context of one request, from its admission to the end of its response.
+
+    Attributes
+    ----------
+    request : GatewayRequest
+        Request of the caller.
+    reply : Reply
+        Response to the caller.
+    route : GatewayRoute
+        Route that matched when the request arrived.
+    service : GatewayService
+        Service drawn from those of the route.
+    customer : CustomerLimit or None
+        Customer that sent the request.
+    units : float
+        Units acquired from the customer's limit.
+    deadline_s : float
+        When the request is aborted, in trio time.
+    tried : set of ServerIncarnation
+        Server incarnations that have been attempted. A server that has restarted since
+        is a new incarnation and may be attempted again.
+    sent : int
+        Number of attempts of which any byte may have been sent.
+    unsent : int
+        Number of attempts of which no byte was sent.
+    may_have_run : bool
+        Whether an attempt may have run.
+    last_event_id : bytes or None
+        Event id after which a stream is resumed.
+    is_run_recorded : bool
+        Whether the request was counted as one that began to run.
+    version : int
+        Version of the configuration.
+    lowest_priority : int
+        Lowest priority, that is the greatest number, of the routes to the service.
+    min_event_gap_s : float
+        Shortest of the gaps between events that the routes to the service allow.
+    first_byte_s : float or None
+        Time from arrival to the first bytes of the response, in seconds.
+    last_event_s : float or None
+        When the last events of a stream arrived, in trio time.
+    max_event_gap_s : float
+        Longest gap between events of a stream, in seconds.
+    chosen : Candidate or None
+        Server of the last attempt, with its load when it was chosen.
+    delivery_scope : trio.CancelScope or None
+        Scope in which a buffered response is delivered to the caller.
+    deadline_scope : trio.CancelScope or None
+        Scope that aborts the request at its deadline.
+    """
+
+    request: GatewayRequest
+    reply: Reply
+    route: GatewayRoute
+    service: GatewayService
+    customer: CustomerLimit | None
+    units: float
+    deadline_s: float
+    version: int
+    lowest_priority: int
+    min_event_gap_s: float = math.inf
+    tried: set[ServerIncarnation] = field(default_factory=set)
+    sent: int = 0
+    unsent: int = 0
+    may_have_run: bool = False
+    last_event_id: bytes | None = None
+    is_run_recorded: bool = False
+    first_byte_s: float | None = None
+    last_event_s: float | None = None
+    max_event_gap_s: float = 0.0
+    chosen: Candidate | None = None
+    delivery_scope: trio.CancelScope | None = None
+    deadline_scope: trio.CancelScope | None = None
+
+    @property
+    def priority(self) -> int:
+        """Priority; 0 is the highest. The customer's overrides that of the route."""
+        priority = self.route.priority
+        if self.customer is not None and self.customer.priority is not None:
+            priority = self.customer.priority
+        return max(0, min(LOWEST_PRIORITY, priority))
+
+    @property
+    def is_lowest_priority(self) -> bool:
+        """Whether no route to the service has requests of a lower priority."""
+        return self.priority >= min(self.lowest_priority, LOWEST_PRIORITY)
+
+    def remaining_s(self) -> float:
+        """Return the time until the deadline, in seconds."""
+        return self.deadline_s - trio.current_time()
+
+    def record_events(self, now_s: float) -> None:
+        """Record the arrival of events of a stream and the gap before them."""
+        if self.last_event_s is not None:
+            self.max_event_gap_s = max(self.max_event_gap_s, now_s - self.last_event_s)
+        self.last_event_s = now_s
+
+
+def output_tokens(request: GatewayRequest) -> int:
+    """Return the maximum output tokens of a response, 0 for a plain request."""
+    return 0 if request.size is None else request.size.max_output_tokens
+
+
+def placement_log_fields(context: RequestContext) -> dict[str, object]:
+    """Return log fields that explain the last choice of a server."""
+    chosen = context.chosen
+    if chosen is None:
+        return {}
+    now_s = trio.current_time()
+    return {
+        "server": chosen.state.entry.id,
+        "server_born": chosen.state.entry.born,
+        "server_known_s": round(now_s - chosen.state.known_s, 3),
+        "server_entry_s": round(now_s - chosen.state.entry_s, 3),
+        "server_failures": chosen.failures,
+        "server_zone": chosen.state.entry.zone,
+        "requests_there": chosen.requests,
+        "tokens_there": chosen.tokens,
+        "tokens_kept": chosen.cached_tokens,
+        "prompt": 0
+        if context.request.size is None
+        else context.request.size.prompt_tokens,
+        "max_output": output_tokens(context.request),
+    }
+
+
+def abort_log_fields(context: RequestContext) -> dict[str, object]:
+    """Return log fields of a request that is aborted in progress."""
+    timeout_s = context.deadline_s - context.request.arrived_s
+    return {
+        "request": context.request.id,
+        "route": context.route.name,
+        "version": context.version,
+        "limit_s": round(timeout_s, 3),
+        "left_s": round(context.remaining_s(), 3),
+        "servers": len(context.tried),
+        "first_s": None
+        if context.first_byte_s is None
+        else round(context.first_byte_s, 3),
+        **placement_log_fields(context),
+    }
+
+
+def refusal(
+    rng: random.Random, status: int, reason: str, min_s: float = MIN_RETRY_AFTER_S
+) -> Refusal:
+    """Return a refusal with jitter added to its Retry-After."""
+    return Refusal(status, reason, min_s + rng.uniform(0, RETRY_JITTER_S))
--- a/src/rosemaryknot/request/gateway_placement.py
+++ b/src/rosemaryknot/request/gateway_placement.py
@@ -1,19 +1,22 @@
-"""Which backend server a request goes to.
-
-Load pattern: prompts of some thousand tokens come in clumps, a server reads one prompt
-after the other between the tokens of the others, and most of a prompt's beginning was
-read before by some server. What delays a first event is the unread tokens ahead; so the
-server with the least of them, its own part included, is chosen, and not the one with
-the fewest requests.
-
-A server reads a long prompt in parts, one with each step of the answers that it runs,
-and their events come as much later. Answers whose events pause too long are late, so
-long prompts have servers of their own, by their part of the reading, chosen alike by
-all gateways; what they cannot take goes where few answers run.
-
-Where many gateways know the servers by the same sums, some hundred milliseconds old,
-all of them would choose the same server until the next sum. There each request compares
-only a few servers, drawn for it.
+"""Policies that choose the backend server of a request.
+
+Load pattern: prompts of some thousand tokens arrive in bursts. A server prefills one
+prompt after the other, between the decoding steps of running generations, and some
+server usually has most of the prompt's prefix in its cache. The time to the first event
+is determined by the prefill tokens queued ahead of it. A model request therefore goes
+to the server with the fewest prefill tokens, including its own uncached ones, not to
+the server with the fewest requests.
+
+A server prefills a long prompt in chunks, one with each decoding step of the running
+generations, which delays their events. A response whose gap between events is too long
+counts as late. Long prompts are therefore assigned a separate group of servers, sized
+by their share of the prefill work. All gateways derive the groups from the same hash.
+Requests that exceed the capacity of their group go to servers with few running
+generations.
+
+Where many gateways use the same aggregated load reports, some hundred milliseconds old,
+all of them would choose the same server until the next report. Each request then
+compares only a small random sample of the servers.
 """
 
 import math
@@ -32,104 +35,106 @@
     "Candidate",
     "Placement",
     "PlacementInput",
-    "least_costly",
+    "eligible_servers",
+    "lowest_cost",
     "placement_policy",
-    "usable",
 ]
 
-# What a running request adds to a first event's wait, in tokens: each step of the
-# engine lasts longer by its share.
-RUNNING_TOKENS = 60
-# How much a token that need not be read again counts against one that waits: reading
-# it again takes the same time, from this request and from those behind it.
-KEPT_WEIGHT = 2.0
-# Share of the wanted pause within which a prompt can be read beside running answers
-# and delays none of their events too long.
-EASY_SHARE = 0.3
-# Share of the wanted pause from which a prompt counts as long.
-LONG_SHARE = 0.6
-# Servers for long prompts, against their part of the reading: on fewer ones, long
-# prompts make each other's answers pause.
-LONG_ROOM = 2.0
-# With fewer servers, none are set apart for long prompts.
-LEAST_SERVERS = 3
-# What going to another zone is taken for, in tokens: it costs bytes between zones,
-# and half a millisecond each way.
-OTHER_ZONE_TOKENS = 300
-OTHER_ZONE_REQUESTS = 1.0
-# A server that fails this share of its attempts is left out, while enough others
+# Cost of a running request in prefill tokens: each one lengthens every step of the
+# engine, and with it the time to the first event.
+RUNNING_REQUEST_COST_TOKENS = 60
+# Weight of a cached token relative to a queued one: recomputing it would take the same
+# time from this request and from those queued behind it.
+CACHED_TOKEN_WEIGHT = 2.0
+# Share of the target gap between events that a prompt's prefill may take without
+# delaying the events of running responses too long.
+UNDELAYED_GAP_SHARE = 0.3
+# Share of the target gap between events above which a prompt counts as long.
+LONG_PROMPT_GAP_SHARE = 0.6
+# Ratio of the share of servers for long prompts to their share of the prefill work.
+# With fewer servers, long prompts delay the events of each other's responses.
+LONG_PROMPT_HEADROOM = 2.0
+# With fewer servers, no separate group is formed for long prompts.
+MIN_SERVERS_FOR_SPLIT = 3
+# Cost of a server in another zone, in prefill tokens and in requests: traffic between
+# zones is charged and adds half a millisecond each way.
+OTHER_ZONE_COST_TOKENS = 300
+OTHER_ZONE_COST_REQUESTS = 1.0
+# Servers with at least this share of failed attempts are excluded while enough others
 # remain.
-FAILING_SHARE = 0.35
-# Share of the servers that must remain; below it the failing ones are used as well,
-# since one node's bad luck or broken link must not empty a service.
-FLOOR_SHARE = 0.5
-# Servers that a request compares where what the others have in flight is known late.
-DRAWN = 2
-# Besides them, of the servers for prompts of the other kind.
-OTHERS_DRAWN = 1
+MAX_FAILURE_SHARE = 0.35
+# Share of the servers that must remain after the exclusion. Below it the failing ones
+# are used as well, so that a run of failures or a broken link at one node does not
+# leave a service without servers.
+MIN_REMAINING_SHARE = 0.5
+# Servers that a request compares if the load reports of other nodes are delayed.
+SAMPLE_SIZE = 2
+# Additional servers, from the group for the other prompt length.
+OTHER_KIND_SAMPLE_SIZE = 1
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A server as the choice sees it.
+    """A server that a placement policy may choose, with its load.
 
     Attributes
     ----------
     state : ServerState
         The server.
     requests, tokens : int
-        In flight there from all nodes, and unread prompt tokens.
-    kept_tokens : int
-        Of this request's prompt, read there before.
+        Requests in flight at the server from all nodes, and their prompt tokens that
+        are not prefilled yet.
+    cached_tokens : int
+        Tokens of this request's prompt in the prefix cache of the server.
     failures : int
-        Attempts that failed there in a row.
+        Consecutive failed attempts at the server.
     """
 
     state: ServerState
     requests: int
     tokens: int
-    kept_tokens: int = 0
+    cached_tokens: int = 0
     failures: int = 0
 
 
 @dataclass(slots=True)
 class PlacementInput:
-    """What a choice is made from.
+    """Input of a placement policy.
 
     Attributes
     ----------
     zone : str
-        Of this node.
+        Zone of this node.
     size : ModelInput or None
-        Tokens of a model request.
+        Token counts of a model request, None for a plain request.
     candidates : list of Candidate
-        Usable servers.
+        Eligible servers.
     rng : random.Random
-        Breaks ties.
-    pause_tokens : float
-        What a server reads within the longest pause between events with which the
-        answers that it runs are in time.
+        Breaks ties and draws samples.
+    event_gap_tokens : float
+        Tokens that a server prefills within the longest gap between events that keeps
+        the responses it is running on time.
     long_share : float
-        Part of the reading that long prompts bring.
+        Share of the prefill work that is caused by long prompts.
     """
 
     zone: str
     size: ModelInput | None
     candidates: list[Candidate]
     rng: random.Random
-    pause_tokens: float = math.inf
+    event_gap_tokens: float = math.inf
     long_share: float = 0.0
 
     @property
-    def unread_tokens(self) -> int:
-        """What the server that keeps most of the prompt would have to read."""
-        unread = [self.size.prompt_tokens - c.kept_tokens for c in self.candidates]
-        return max(0, min(unread, default=0))
+    def prefill_tokens(self) -> int:
+        """Prompt tokens to prefill at the server that has most of them cached."""
+        uncached = [self.size.prompt_tokens - c.cached_tokens for c in self.candidates]
+        return max(0, min(uncached, default=0))
 
     @property
     def is_long(self) -> bool:
-        """Whether reading the prompt may make other answers pause too long."""
-        return self.unread_tokens > LONG_SHARE * self.pause_tokens
+        """Whether the prefill may delay the events of other responses too long."""
+        return self.prefill_tokens > LONG_PROMPT_GAP_SHARE * self.event_gap_tokens
 
 
 Placement = Callable[[PlacementInput], Candidate | None]
@@ -137,7 +142,7 @@
 
 
 def placement_policy(name: str) -> Callable[[Placement], Placement]:
-    """Register a placement under a name."""
+    """Return a decorator that registers a placement policy under a name."""
 
     def register(policy: Placement) -> Placement:
         POLICIES[name] = policy
@@ -147,118 +152,130 @@
 
 
 @placement_policy("unread_tokens")
-def least_unread_tokens(given: PlacementInput) -> Candidate | None:
-    """Choose the server with the least unread tokens in front of the first event."""
-    return least_costly(given, given.candidates, servers_of_kind(given))
+def least_prefill_tokens(inputs: PlacementInput) -> Candidate | None:
+    """Choose the server with the fewest prefill tokens before the first event."""
+    return lowest_cost(inputs, inputs.candidates, servers_for_prompt_length(inputs))
 
 
 @placement_policy("unread_tokens_of_drawn")
-def least_unread_tokens_of_drawn(given: PlacementInput) -> Candidate | None:
-    """Choose the server with the least unread tokens among a few drawn ones."""
-    own_servers = servers_of_kind(given)
-    own = [c for c in given.candidates if c.state in own_servers]
-    others = [c for c in given.candidates if c.state not in own_servers]
-    few = draw(own, DRAWN, given.rng) + draw(others, OTHERS_DRAWN, given.rng)
-    return least_costly(given, few, own_servers)
-
-
-def least_costly(
-    given: PlacementInput, candidates: list[Candidate], own_servers: set[ServerState]
+def least_prefill_tokens_of_sample(inputs: PlacementInput) -> Candidate | None:
+    """Choose the server with the fewest prefill tokens in a random sample."""
+    group = servers_for_prompt_length(inputs)
+    in_group = [c for c in inputs.candidates if c.state in group]
+    others = [c for c in inputs.candidates if c.state not in group]
+    sample = draw_sample(in_group, SAMPLE_SIZE, inputs.rng) + draw_sample(
+        others, OTHER_KIND_SAMPLE_SIZE, inputs.rng
+    )
+    return lowest_cost(inputs, sample, group)
+
+
+def lowest_cost(
+    inputs: PlacementInput, candidates: list[Candidate], group: set[ServerState]
 ) -> Candidate | None:
-    """Return the candidate where the request, and the others there, wait least."""
+    """Return the candidate with the least delay for this request and the others."""
 
     def cost(candidate: Candidate) -> tuple[float, float]:
-        own = given.size.prompt_tokens - KEPT_WEIGHT * candidate.kept_tokens
-        is_near = candidate.state.entry.zone == given.zone
-        far = 0 if is_near else OTHER_ZONE_TOKENS
+        own = inputs.size.prompt_tokens - CACHED_TOKEN_WEIGHT * candidate.cached_tokens
+        is_near = candidate.state.entry.zone == inputs.zone
+        zone_cost = 0 if is_near else OTHER_ZONE_COST_TOKENS
         running = candidate.requests * (
-            RUNNING_TOKENS + paused_tokens(given, candidate)
+            RUNNING_REQUEST_COST_TOKENS + event_delay_tokens(inputs, candidate)
+        )
+        group_cost = 0.0
+        if candidate.state not in group:
+            group_cost = UNDELAYED_GAP_SHARE * inputs.event_gap_tokens
+        return (
+            candidate.tokens + own + running + zone_cost + group_cost,
+            inputs.rng.random(),
         )
-        other = 0.0
-        if candidate.state not in own_servers:
-            other = EASY_SHARE * given.pause_tokens
-        return candidate.tokens + own + running + far + other, given.rng.random()
 
     return min(candidates, key=cost, default=None)
 
 
-def servers_of_kind(given: PlacementInput) -> set[ServerState]:
+def servers_for_prompt_length(inputs: PlacementInput) -> set[ServerState]:
     """Return the servers for long prompts if this is one, otherwise the others.
 
-    All gateways order the servers alike, by a hash, so that they mostly agree.
+    All gateways order the servers by the same hash, so their groups mostly agree.
     """
-    states = [candidate.state for candidate in given.candidates]
-    if math.isinf(given.pause_tokens) or len(states) < LEAST_SERVERS:
+    states = [candidate.state for candidate in inputs.candidates]
+    if math.isinf(inputs.event_gap_tokens) or len(states) < MIN_SERVERS_FOR_SPLIT:
         return set(states)
     states.sort(key=lambda state: xxhash.xxh64_intdigest(state.told_as.encode()))
-    count = round(LONG_ROOM * given.long_share * len(states))
+    count = round(LONG_PROMPT_HEADROOM * inputs.long_share * len(states))
     count = max(1, min((len(states) + 1) // 2, count))
-    return set(states[:count] if given.is_long else states[count:])
+    return set(states[:count] if inputs.is_long else states[count:])
 
 
-def paused_tokens(given: PlacementInput, candidate: Candidate) -> float:
-    """Return what it counts for each running answer that a prompt is read beside it.
+def event_delay_tokens(inputs: PlacementInput, candidate: Candidate) -> float:
+    """Return the cost of the prefill for each running response, in tokens.
 
-    One that pauses too long counts like one that has waited as long.
+    A response whose gap between events is too long costs as much as a request that
+    waits for the same time.
     """
-    if math.isinf(given.pause_tokens):
+    if math.isinf(inputs.event_gap_tokens):
         return 0.0
-    unread = given.size.prompt_tokens - candidate.kept_tokens
-    part = (unread / given.pause_tokens - EASY_SHARE) / (1 - EASY_SHARE)
-    return given.pause_tokens * min(max(part, 0.0), 1.0)
+    uncached = inputs.size.prompt_tokens - candidate.cached_tokens
+    excess = (uncached / inputs.event_gap_tokens - UNDELAYED_GAP_SHARE) / (
+        1 - UNDELAYED_GAP_SHARE
+    )
+    return inputs.event_gap_tokens * min(max(excess, 0.0), 1.0)
 
 
 @placement_policy("least_busy")
-def least_busy(given: PlacementInput) -> Candidate | None:
-    """Choose the server with the fewest requests for its slots."""
+def least_busy(inputs: PlacementInput) -> Candidate | None:
+    """Choose the server with the fewest requests per slot."""
 
     def cost(candidate: Candidate) -> tuple[float, float]:
-        is_near = candidate.state.entry.zone == given.zone
-        far = 0 if is_near else OTHER_ZONE_REQUESTS
+        is_near = candidate.state.entry.zone == inputs.zone
+        zone_cost = 0 if is_near else OTHER_ZONE_COST_REQUESTS
         slots = max(1, candidate.state.entry.slots)
-        return (candidate.requests + far) / slots, given.rng.random()
+        return (candidate.requests + zone_cost) / slots, inputs.rng.random()
 
-    return min(given.candidates, key=cost, default=None)
+    return min(inputs.candidates, key=cost, default=None)
 
 
 @placement_policy("least_busy_of_drawn")
-def least_busy_of_drawn(given: PlacementInput) -> Candidate | None:
-    """Choose the server with the fewest requests among a few drawn ones."""
-    few = draw(given.candidates, DRAWN, given.rng)
-    return least_busy(replace(given, candidates=few))
+def least_busy_of_sample(inputs: PlacementInput) -> Candidate | None:
+    """Choose the server with the fewest requests per slot in a random sample."""
+    sample = draw_sample(inputs.candidates, SAMPLE_SIZE, inputs.rng)
+    return least_busy(replace(inputs, candidates=sample))
 
 
-def draw(
+def draw_sample(
     candidates: list[Candidate], count: int, rng: random.Random
 ) -> list[Candidate]:
-    """Return a few of the servers, all where there are no more."""
+    """Return a random sample of the servers, or all if there are not more."""
     return rng.sample(candidates, min(count, len(candidates)))
 
 
-def usable(
+def eligible_servers(
     states: Sequence[ServerState],
     now_s: float,
     tried: set[ServerIncarnation],
     is_model: bool,
 ) -> list[ServerState]:
-    """Return the servers that may get a request, the sound ones where enough are.
+    """Return the servers that may get a request.
+
+    Servers with many failed attempts are excluded if enough others remain. Servers in
+    backoff and silent ones are returned only if there are no others.
 
     Examples
     --------
-    >>> usable([], 0.0, set(), True)
+    >>> eligible_servers([], 0.0, set(), True)
     []
     """
-    limit_s = MODEL_SILENT_S if is_model else PLAIN_SILENT_S
-    staying = [s for s in states if s.takes_work(now_s)]
+    silence_timeout_s = MODEL_SILENT_S if is_model else PLAIN_SILENT_S
+    accepting = [s for s in states if s.takes_work(now_s)]
     if tried:
-        staying = [s for s in staying if s.incarnation not in tried]
-    present = [s for s in staying if now_s >= s.avoid_until_s]
-    present = [s for s in present if not s.is_silent(now_s, limit_s)]
-    # Missing entries may have lapsed with the store; others are safer.
+        accepting = [s for s in accepting if s.incarnation not in tried]
+    present = [s for s in accepting if now_s >= s.avoid_until_s]
+    present = [s for s in present if not s.is_silent(now_s, silence_timeout_s)]
+    # A missing entry may have expired because the store was unreachable. Servers that
+    # are still listed are preferred.
     listed = [s for s in present if not s.is_missing]
     if listed:
         present = listed
-    sound = [s for s in present if s.failure_share < FAILING_SHARE]
-    if sound and len(sound) >= FLOOR_SHARE * len(present):
-        return sound
-    return present or staying
+    healthy = [s for s in present if s.failure_share < MAX_FAILURE_SHARE]
+    if healthy and len(healthy) >= MIN_REMAINING_SHARE * len(present):
+        return healthy
+    return present or accepting
--- a/src/rosemaryknot/request/generation_run.py
+++ b/src/rosemaryknot/request/generation_run.py
@@ -11,7 +11,7 @@
 from rosemaryknot.process.server_load import LoadTable
 from rosemaryknot.process.servers import ServerTable
 from rosemaryknot.request.attempts import Attempt, AttemptEnd, Leave, Moved, Silent
-from rosemaryknot.request.course import Course
+from rosemaryknot.request.course import RequestContext
 from rosemaryknot.request.generations import Generation
 from rosemaryknot.request.moves import Mover
 from rosemaryknot.request.relay_records import note_end
@@ -79,7 +79,7 @@
     """
 
     def __init__(
-        self, generation: Generation, course: Course, parts: RelayParts
+        self, generation: Generation, course: RequestContext, parts: RelayParts
     ) -> None:
         self.generation = generation
         self.course = course
--- a/src/rosemaryknot/request/relay.py
+++ b/src/rosemaryknot/request/relay.py
@@ -15,7 +15,7 @@
 from rosemaryknot.process.server_load import LoadTable
 from rosemaryknot.process.servers import ServerTable
 from rosemaryknot.request.attempts import Silent
-from rosemaryknot.request.course import Course
+from rosemaryknot.request.course import RequestContext
 from rosemaryknot.request.generation_run import (
     NO_SERVER_RETRY_S,
     GenerationRun,
@@ -205,7 +205,7 @@
         self, generation: Generation, is_resumed: bool = False, server: str = ""
     ) -> None:
         """Bring a generation to its outcome, whatever happens."""
-        course = Course(prompt_of(generation.request), was_sent=is_resumed)
+        course = RequestContext(prompt_of(generation.request), was_sent=is_resumed)
         known = self.servers.get(server)
         if known is not None and known.state == ServerState.LIVE:
             course.next_server = known
--- a/src/rosemaryknot/request/stop_admission.py
+++ b/src/rosemaryknot/request/stop_admission.py
@@ -114,12 +114,12 @@
     ----------
     bound : str
         What its end rests on.
-    until_s : float
+    deadline_s : float
         When it is given up, in trio time.
     """
 
     bound: str
-    until_s: float
+    deadline_s: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -187,7 +187,7 @@
     >>> by_bound(StopInput(4.28, stop, 19.28, Likely(2.9, 30, 0.1)))
     RefusedInStop(return_s=0.0, reason='stops before the answer would end')
     >>> by_bound(StopInput(4.28, stop, 7.28, Likely(2.9, 30, 0.1)))
-    TakenInStop(bound='its own time limit', until_s=7.28)
+    TakenInStop(bound='its own time limit', deadline_s=7.28)
     """
     if given.is_bound:
         return TakenInStop(OWN_LIMIT, given.limit_s)
--- a/src/rosemaryknot/standin/peak.py
+++ b/src/rosemaryknot/standin/peak.py
@@ -165,7 +165,7 @@
             await trio.sleep(min(return_s, left_s / 3))
             return False
         state = chosen.state
-        tokens = size.prompt_tokens - chosen.kept_tokens
+        tokens = size.prompt_tokens - chosen.cached_tokens
         prompt = Prompt(size)
         began_s = state.heard_s = trio.current_time()
         gateway.table.begin(state, size, tokens)
--- a/src/rosemaryknot/standin/peak_gateway.py
+++ b/src/rosemaryknot/standin/peak_gateway.py
@@ -12,15 +12,15 @@
 from rosemaryknot.request.gateway_admission import (
     ADMISSIONS,
     AdmissionInput,
-    return_after_s,
+    admission_retry_after_s,
 )
 from rosemaryknot.request.gateway_placement import (
     POLICIES,
     Candidate,
     PlacementInput,
-    least_costly,
+    eligible_servers,
+    lowest_cost,
     placement_policy,
-    usable,
 )
 from rosemaryknot.standin.peak_load import SMALL, Deployment, Kind, Way
 from rosemaryknot.values.gateway import ModelInput, RoutedServer
@@ -46,14 +46,14 @@
 @placement_policy("unread_tokens_alone")
 def unread_tokens_alone(given: PlacementInput) -> Candidate | None:
     """Choose by what waits, whatever answers run there."""
-    return POLICIES["unread_tokens"](replace(given, pause_tokens=math.inf))
+    return POLICIES["unread_tokens"](replace(given, event_gap_tokens=math.inf))
 
 
 @placement_policy("unread_tokens_beside_few")
 def unread_tokens_beside_few(given: PlacementInput) -> Candidate | None:
     """Choose by what waits and runs, without servers for long prompts."""
     every = {candidate.state for candidate in given.candidates}
-    return least_costly(given, given.candidates, every)
+    return lowest_cost(given, given.candidates, every)
 
 
 @placement_policy("unread_tokens_of_3")
@@ -67,8 +67,8 @@
 def unread_tokens_of_2_and_kept(given: PlacementInput) -> Candidate | None:
     """Choose among two drawn servers and the one that keeps most of the prompt."""
     few = given.rng.sample(given.candidates, min(2, len(given.candidates)))
-    kept = max(given.candidates, key=lambda candidate: candidate.kept_tokens)
-    if kept.kept_tokens and kept not in few:
+    kept = max(given.candidates, key=lambda candidate: candidate.cached_tokens)
+    if kept.cached_tokens and kept not in few:
         few.append(kept)
     return POLICIES["unread_tokens"](replace(given, candidates=few))
 
@@ -98,16 +98,16 @@
         """Choose a server."""
         states = [s for s in self.table.by_id.values() if not s.entry.is_leaving]
         candidates = []
-        for state in usable(states, trio.current_time(), set(), True):
+        for state in eligible_servers(states, trio.current_time(), set(), True):
             requests, tokens = state.load()
             kept = self.table.kept.tokens(state, size)
             candidates.append(Candidate(state, requests, tokens, kept))
-        pause_tokens = self.pause_s * self.table.rate
+        event_gap_tokens = self.pause_s * self.table.rate
         mix = self.table.mixes["model"]
         given = PlacementInput(
-            self.zone, size, candidates, self.rng, pause_tokens, mix.long_share
+            self.zone, size, candidates, self.rng, event_gap_tokens, mix.long_share
         )
-        mix.note(given.unread_tokens, given.is_long)
+        mix.note(given.prefill_tokens, given.is_long)
         return POLICIES[self.way.placement](given)
 
     def refusal_s(
@@ -115,13 +115,13 @@
     ) -> float | None:
         """Return when to come back, or None where the request is let in."""
         rate = self.table.rate
-        own_s = (size.prompt_tokens - chosen.kept_tokens) / rate
+        own_s = (size.prompt_tokens - chosen.cached_tokens) / rate
         given = AdmissionInput(
             kind.rank > 0, chosen.tokens / rate, own_s, kind.target_s, left_s
         )
         if not ADMISSIONS[self.way.admission](given):
             return None
-        return return_after_s(given) + self.rng.uniform(0, RETURN_SPREAD_S)
+        return admission_retry_after_s(given) + self.rng.uniform(0, RETURN_SPREAD_S)
 
     async def hold(self, kind: Kind, number: int, size: ModelInput) -> None:
         """Return when the request's turn has come and a server has little to read."""
--- a/tests/gateway/slow_callers.py
+++ b/tests/gateway/slow_callers.py
@@ -1,4 +1,4 @@
-"""Callers that read slowly, for tests in virtual time."""
+"""Simulation of callers that read slowly, for tests in virtual time."""
 
 import trio
 
@@ -9,17 +9,17 @@
 
 
 def read_slowly(monkeypatch, write_s):
-    """Let each write to callers take a time; no byte is taken at once."""
+    """Make each write to callers take `write_s`; none completes immediately."""
 
     async def send_all(stream, data):
         if stream.far == CALLERS:
             await trio.sleep(write_s)
-        await send_at_once(stream, data)
+        await original_send_all(stream, data)
 
     def send_now(stream, data):
-        return 0 if stream.far == CALLERS else take_at_once(stream, data)
+        return 0 if stream.far == CALLERS else original_send_now(stream, data)
 
-    send_at_once = MemoryStream.send_all
-    take_at_once = MemoryStream.send_now
+    original_send_all = MemoryStream.send_all
+    original_send_now = MemoryStream.send_now
     monkeypatch.setattr(MemoryStream, "send_all", send_all)
     monkeypatch.setattr(MemoryStream, "send_now", send_now)
