--- a/tests/gateway/test_bounds.py
+++ b/tests/gateway/test_bounds.py
@@ -1,4 +1,4 @@
-"""Tests of promises that hold also where something takes longer than usual."""
+"""Tests of guarantees when callers, servers, the store or nodes are slow."""
 
 import json
 
@@ -21,8 +21,8 @@
 GRACE_S = 8.0
 
 
-def question(caller):
-    """Return the bytes of a request, for a test that decides when they go out."""
+def request_bytes(caller):
+    """Return the bytes of a request, for a test that controls when they are sent."""
     headers = [
         ("Host", HOST),
         ("Rosemaryknot-Attempt-Id", "late"),
@@ -33,39 +33,39 @@
     return caller.conn.send(request) + caller.conn.send(h11.EndOfMessage())
 
 
-class TestLastMomentOfAStop:
-    async def test_request_behind_the_last_look(self, autojump_clock):
-        """A stop is nearly over: nothing is in flight, and the node looks once more.
+class TestEndOfShutdown:
+    async def test_request_after_last_check(self, autojump_clock):
+        """A request arrives while a stopping node makes its last check for requests.
 
-        A request lies on a connection that was opened late, and is read in the same
-        moment. It went out to a server, the process ended, and the caller saw a
-        closed connection. The node counted requests that were read, not connections
-        that may still bring one.
+        Nothing is in flight, and the request is read from a connection that was opened
+        late. It was sent to a server, the process ended, and the caller saw a closed
+        connection. The node counted the requests it had read, but not the connections
+        on which one may still arrive.
         """
         async with platform_system(plain=1) as fleet:
-            # A connection to the server is kept, so nothing is waited for.
+            # The connection to the server stays open, so no dial delays the request.
             await fleet.ask("/stock/x", method="GET", request_id="early")
             node = fleet.nodes["n0"]
             callers = []
             leave = node.peers.leave
 
-            async def leave_and_be_asked():
+            async def leave_then_receive():
                 callers.append(await fleet.caller().open())
                 await leave()
-                callers[0].stream.send_now(question(callers[0]))
+                callers[0].stream.send_now(request_bytes(callers[0]))
 
-            node.peers.leave = leave_and_be_asked
+            node.peers.leave = leave_then_receive
             fleet.stops["n0"].set()
             await trio.sleep(4)
-            answer = await callers[0].receive()
-            assert answer.is_whole or not fleet.ledger.runs_of("late")
+            response = await callers[0].receive()
+            assert response.is_whole or not fleet.ledger.runs_of("late")
 
-    async def test_half_a_head_shuts_nobody_out(self, autojump_clock):
-        """In the only node's planned stop one caller sends half a head, then nothing.
+    async def test_incomplete_head_does_not_block_callers(self, autojump_clock):
+        """During shutdown of the only node a caller sends an incomplete request head.
 
-        Nothing else is in flight, so the node closed every new connection unread, and
-        waited for the rest of the head: five seconds in which it neither served, nor
-        refused with when to come back, nor ended to start again.
+        Nothing else is in flight, so the node closed every new connection unread and
+        waited five seconds for the rest of the head. In this time it did not serve
+        requests, send refusals with Retry-After, or stop so that it could restart.
         """
         configuration = document()
         configuration["limits"]["headerTimeoutMs"] = 5000
@@ -76,19 +76,20 @@
             await half.stream.send_all(b"GET /stock/x HT")
             await trio.sleep(1)
             for number in range(20):
-                answer = await fleet.ask("/stock/x", "n0", request_id=f"r{number}")
-                assert answer.status in (200, 503), f"{number}: {answer}"
+                response = await fleet.ask("/stock/x", "n0", request_id=f"r{number}")
+                assert response.status in (200, 503), f"{number}: {response}"
                 await trio.sleep(0.1)
             await half.close()
             await trio.sleep(0.3)
             with pytest.raises(ConnectionRefusedError):
                 await fleet.caller().open()
 
-    async def test_store_is_silent(self, autojump_clock):
-        """The node that stops holds the duties, and the store answers nothing.
+    async def test_unresponsive_store(self, autojump_clock):
+        """A stopping node holds the duties, and the store does not respond.
 
-        It waited for the store, twice two seconds and more, before it closed idle
-        connections: their callers went on sending until the process ended.
+        A duty is a task that only the holder of a lease performs. The node waited for
+        the store to release the lease, at least twice two seconds, before it closed
+        idle connections. Their callers continued to send until the process ended.
         """
         async with platform_system(duties=("usage",)) as fleet:
             await trio.sleep(4)
@@ -104,29 +105,30 @@
 
 
 class TestSlowReader:
-    async def test_whole_answer_has_the_requests_time(
+    async def test_buffered_response_has_until_deadline(
         self, autojump_clock, monkeypatch
     ):
-        """A caller with two seconds left reads a whole answer within 1.2 s.
+        """A caller with two seconds left reads a buffered response within 1.2 s.
 
-        What keeps a ready answer from being cut by the end of its time, for a second
-        more, began when the answer was there, and cut it while time was left. The log
-        said that it was answered.
+        A complete response may be delivered for up to a second after its deadline. The
+        second was counted from the completion of the response, so the delivery was
+        aborted before the deadline, and the log reported the request as answered.
         """
         async with platform_system() as fleet:
             read_slowly(monkeypatch, 0.6)
-            answer = await fleet.ask("/stock/x", method="GET")
-            assert 1.2 < answer.took_s < 2
-            assert answer.is_whole
+            response = await fleet.ask("/stock/x", method="GET")
+            assert 1.2 < response.took_s < 2
+            assert response.is_whole
 
-    @pytest.mark.parametrize("taken_before_s", [1.0, 8.0])
-    async def test_node_ends_within_its_grace(
-        self, autojump_clock, monkeypatch, taken_before_s
+    @pytest.mark.parametrize("sent_before_s", [1.0, 8.0])
+    async def test_node_stops_within_grace_period(
+        self, autojump_clock, monkeypatch, sent_before_s
     ):
-        """A whole answer is on its way to a caller that reads nothing as a stop ends.
+        """A shutdown ends while a caller does not read its buffered response.
 
-        It was kept up for a second more, and the node was killed before: the stop
-        leaves only 0.6 s of the grace. Lines that were held for the end were lost.
+        The delivery was continued for another second, and the node was killed before,
+        since a shutdown leaves only 0.6 s of the grace period. Log lines that were
+        still buffered were lost.
         """
         configuration = document()
         for entry in configuration["routes"]:
@@ -137,19 +139,18 @@
                 fleet.servers[name].work_s = 8.25
             caller = await fleet.caller().open()
             await caller.send("/book/x", Rosemaryknot_Deadline_Ms="30000")
-            await trio.sleep(taken_before_s)
+            await trio.sleep(sent_before_s)
             fleet.stops["n0"].set()
             await trio.sleep(GRACE_S - FLUSH_S)
             assert fleet.nodes["n0"].listener.state.open == 0
 
 
-class TestServerLeavesMeanwhile:
-    async def test_while_a_connection_is_opened(self, autojump_clock):
-        """A server is chosen, and opening a connection to it takes half a second.
+class TestServerDrainsDuringDial:
+    async def test_request_goes_to_another_server(self, autojump_clock):
+        """A chosen server starts to drain while a connection to it is opened for 0.5 s.
 
-        Meanwhile the server says that it leaves. The request went out to it all the
-        same, half a second nearer to the server's end than the choice had looked;
-        another server was there to take it.
+        The request was still sent to it, half a second closer to the end of the server
+        than at the time of the choice, although another server was available.
         """
         async with platform_system() as fleet:
             fleet.network.delays_s[frozenset(("10.2.0.1", "10.1.0.1"))] = 0.25
@@ -158,57 +159,57 @@
             await trio.sleep(0.1)
             entry = fleet.servers["p0"].entry | {"state": "draining"}
             fleet.store.put("servers", "p0", entry)
-            answer = await caller.receive()
-            assert answer.body == b"p1 answers r1"
+            response = await caller.receive()
+            assert response.body == b"p1 answers r1"
             assert not fleet.servers["p0"].arrivals
 
 
-class TestTimeLimitPassedOn:
+class TestDeadlineHeader:
     @pytest.mark.parametrize("first", ["shed", "mute"])
-    async def test_second_attempt_behind_a_dial(self, autojump_clock, first):
-        """A server sheds a request, or says nothing; the other one is far to dial.
+    async def test_second_attempt_after_slow_dial(self, autojump_clock, first):
+        """A server sheds a request or does not respond; dialling the other one is slow.
 
-        Each server is told what is left of the caller's time when the request goes
-        out to it, never what was left when it came.
+        Each server receives the time that remains until the caller's deadline when the
+        request is sent to it, not the time that remained when the request arrived.
         """
-        async with platform_system(configuration=patient()) as fleet:
+        async with platform_system(configuration=long_timeout_document()) as fleet:
             fleet.network.delays_s[frozenset(("10.2.0.1", "10.1.0.2"))] = 0.2
             fleet.servers["p0"].faults.append(first)
             began_s = trio.current_time()
-            answer = await fleet.ask("/stock/x", method="GET")
-            assert answer.body == b"p1 answers r1"
+            response = await fleet.ask("/stock/x", method="GET")
+            assert response.body == b"p1 answers r1"
             assert len(fleet.ledger.arrivals) == 2
             for arrival in fleet.ledger.arrivals:
-                told_ms = int(arrival.request.headers["rosemaryknot-deadline-ms"])
-                # One way of 0.2 s passes after the request went out.
-                gone_s = arrival.at_s - began_s
-                assert 1.99 - gone_s <= told_ms / 1000 <= 2.2 - gone_s
+                deadline_ms = int(arrival.request.headers["rosemaryknot-deadline-ms"])
+                # The one-way delay of 0.2 s passes after the request is sent.
+                elapsed_s = arrival.at_s - began_s
+                assert 1.99 - elapsed_s <= deadline_ms / 1000 <= 2.2 - elapsed_s
 
 
-def patient():
-    """Return a configuration whose routes outlast the callers' time."""
+def long_timeout_document():
+    """Return a configuration whose route time-outs exceed the callers' deadlines."""
     found = document()
     for entry in found["routes"]:
         entry["timeoutMs"] = 9000
     return found
 
 
-class TestWordOfTheStore:
+class TestStoreUpdates:
     @pytest.mark.parametrize("count", [1, 2])
-    async def test_relays_of_a_zone_are_silent(self, autojump_clock, count):
-        """The hub of a zone freezes, or it and the relay after it; a server leaves.
+    async def test_silent_relays(self, autojump_clock, count):
+        """The hub of a zone is partitioned, or also the next relay; a server drains.
 
-        The zone's other nodes hear nothing. Each turns to the next relay after a
-        second, and counted the turn as if it had heard something: it went on trusting
-        that a node watches the store for it. Some gave the server work for 2.1 s, and
-        for 3.2 s where two were frozen.
+        The other nodes of the zone receive no reports. Each switches to the next relay
+        after a second, and counted the switch as a received report, so it continued to
+        assume that a node watches the store for it. Some sent requests to the server
+        for 2.1 s, and for 3.2 s if two relays were partitioned.
         """
         async with platform_system(nodes=30) as fleet:
             await trio.sleep(12)
             here = [n for n in fleet.nodes.values() if n.node.zone == "z0"]
             silent = here[0].exchange.hubs.relays("z0")[:count]
             for name in silent:
-                freeze(fleet, name)
+                partition_node(fleet, name)
             entry = fleet.servers["p0"].entry | {"state": "draining"}
             fleet.store.put("servers", "p0", entry)
             await trio.sleep(1.5)
@@ -216,12 +217,13 @@
                 if node.node.name not in silent:
                     assert node.state.servers.by_id["p0"].has_drained, node.node
 
-    async def test_hub_is_cut_off_from_the_store(self, autojump_clock):
-        """The hub of a zone loses the store, and servers leave one after the other.
+    async def test_hub_partitioned_from_store(self, autojump_clock):
+        """The hub of a zone is partitioned from the store, and servers drain in turn.
 
-        It does not know yet and says that it watches. The zone's other nodes see in
-        the sums that they are behind and ask the store, once in two seconds; a server
-        that left just after the question got work for up to 2.2 s.
+        The hub has not detected this yet and reports that it watches the store. The
+        other nodes of the zone see from aggregated reports that they are behind and
+        query the store every two seconds. A server that started to drain just after a
+        query received requests for up to 2.2 s.
         """
         async with platform_system(nodes=30, plain=8) as fleet:
             await trio.sleep(12)
@@ -241,13 +243,13 @@
                     assert node.node.name == hub or not late
 
 
-class TestDutiesDoNotGoToAndFro:
-    async def test_holder_is_back_soon(self, autojump_clock):
-        """The holder loses the store, another node takes the duties and is stopped.
+class TestDutyHandover:
+    async def test_holder_reconnects_soon(self, autojump_clock):
+        """The lease holder loses the store; another node takes the lease and stops.
 
-        The first one has the store again and took the duties back half a second later:
-        calls of both may then arrive as of the one, the other and the one again,
-        within the least time that the deployment sets for that.
+        The first node reached the store again and took the duties back half a second
+        later. Calls may then arrive from the first node, the other and the first again
+        within the minimum time that the deployment sets for such a change.
         """
         async with platform_system(nodes=2, duties=["usage"]) as fleet:
             await trio.sleep(6)
@@ -268,13 +270,13 @@
             assert trio.current_time() - held_s >= least_s
 
 
-class TestUsageIsWaitedFor:
-    async def test_reports_come_late(self, autojump_clock):
-        """The reports of one node come 2.6 s late, and it serves to a window's end.
+class TestUsageReports:
+    async def test_late_reports(self, autojump_clock):
+        """Reports of one node are delayed by 2.6 s, and it serves to a window's end.
 
-        The holder of the duty told the window two seconds after its end, as if all had
-        been heard by then, and left the node's last requests out; there were eight
-        seconds more until the counts were due.
+        The holder of the duty reported the window two seconds after its end, as if all
+        reports had been received, and omitted the node's last requests. The counts were
+        due only eight seconds later.
         """
         async with platform_system(nodes=3, duties=["usage"]) as fleet:
             await trio.sleep(12 - trio.current_time())
@@ -294,40 +296,42 @@
             window = late.usage.window_of(late.clock.now()) - 2
             assert fleet.cloud.usage[window] == {"ada": 12}
 
-    async def test_node_is_gone(self, autojump_clock):
-        """A node is killed in a window; the others' counts are told when they are due.
+    async def test_killed_node(self, autojump_clock):
+        """A node is killed in a window; the others' counts are reported when due.
 
-        Nobody hears from it that it has counted to the end, so there is a bound.
+        The killed node never reports that its count is complete, so the wait for it is
+        limited.
         """
         async with platform_system(nodes=3, duties=["usage"]) as fleet:
             await trio.sleep(14 - trio.current_time())
-            gone = next(n for n in fleet.nodes.values() if not n.lease.is_held())
-            fleet.kill(gone.node.name)
+            killed = next(n for n in fleet.nodes.values() if not n.lease.is_held())
+            fleet.kill(killed.node.name)
             await trio.sleep_until(15)
-            window = gone.usage.window_of(gone.clock.now()) - 1
+            window = killed.usage.window_of(killed.clock.now()) - 1
             await trio.sleep_until(15 + Bounds().usage_delay_s - 3)
             assert window in fleet.cloud.usage
 
 
 class TestRetryBudget:
-    def test_nodes_that_seem_dead(self):
-        """Half of ten gateways is cut off, and each half takes the other for dead.
+    def test_partitioned_nodes(self):
+        """A partition splits ten gateways, and each half considers the other failed.
 
-        Both go on serving. Each gateway took a fifth of what all may spend besides,
-        and together they spent twice of it.
+        Both halves continue to serve. Each gateway used a fifth of the slack that all
+        may use together, so in total they used twice the slack.
         """
         nodes = [10]
         budget = AttemptBudget(0.0, 10.0, 100.0, lambda: nodes[0])
         budget.take("s", 0.0)
-        budget.note_request("s", 95.0)
+        budget.record_request("s", 95.0)
         nodes[0] = 5
-        taken = sum(budget.take("s", 100.0) for _ in range(50))
-        assert 10 * taken <= 100
+        granted = sum(budget.take("s", 100.0) for _ in range(50))
+        assert 10 * granted <= 100
 
-    def test_nodes_that_are_gone(self):
-        """Gateways that stay away are counted no more, or callers are tried too little.
+    def test_removed_nodes(self):
+        """Gateways that do not return are no longer counted after some windows.
 
-        Their part falls to those that are left after some windows.
+        Their share of the slack passes to the remaining ones. Otherwise requests would
+        get too few attempts.
         """
         nodes = [10]
         budget = AttemptBudget(0.0, 10.0, 100.0, lambda: nodes[0])
@@ -336,12 +340,13 @@
         assert sum(budget.take("s", 61.0) for _ in range(50)) == 16
 
 
-class TestSettingsAgain:
+class TestSettingsReload:
     async def test_shorter_drain(self, autojump_clock, tmp_path):
-        """The settings name a shorter drain while the node runs.
+        """The drain time in the settings is reduced while the node runs.
 
-        An entry that is missing is used for a part of it. The part was worked out at
-        the start, and work went to servers that had ended by the new bound.
+        A server whose entry is missing is used for a part of the drain time. That part
+        was computed at the start of the node, so requests were sent to servers that had
+        stopped according to the new limit.
         """
         async with platform_system(plain=1) as fleet:
             node = fleet.nodes["n0"]
@@ -356,7 +361,7 @@
 
 
 def settings_file(folder, node, **bounds):
-    """Write a node's settings with other bounds; return the path."""
+    """Write a settings file of a node with other bounds and return its path."""
     settings = node.settings
     path = folder / "node.json"
     value = {
@@ -375,8 +380,8 @@
     return path
 
 
-def freeze(fleet, name):
-    """Cut a node off from everything, without a sign to anybody."""
+def partition_node(fleet, name):
+    """Partition a node from all other nodes and the store without closing links."""
     host = fleet.nodes[name].settings.listen.callers.host
     others = {f"10.2.0.{number + 1}" for number in range(len(fleet.nodes))}
     for other in (others | {"10.0.0.1"}) - {host}:
--- a/tests/gateway/test_fuzz.py
+++ b/tests/gateway/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Bytes that nobody thinks of, from callers, servers, the store and settings files."""
+"""Fuzz tests of input from callers, servers, event streams and settings files."""
 
 import json
 
@@ -23,8 +23,8 @@
 PIECES = st.lists(HEADS | st.binary(max_size=80), min_size=1, max_size=5)
 
 
-async def sound_after(pieces: list[bytes]) -> None:
-    """Send pieces on one connection; the node must go on serving others."""
+async def check_node_after(pieces: list[bytes]) -> None:
+    """Send pieces on one connection; the node must still serve other callers."""
     async with platform_system(plain=1, models=0) as system:
         stream = await system.caller().network.dial(
             system.nodes["n0"].settings.listen.callers
@@ -37,42 +37,42 @@
             pass
         await trio.sleep(0.2)
         await trio.aclose_forcefully(stream)
-        answer = await system.ask("/stock/x", method="GET", request_id="sound")
-        assert answer.body.endswith(b"answers sound")
+        response = await system.ask("/stock/x", method="GET", request_id="sound")
+        assert response.body.endswith(b"answers sound")
         await trio.sleep(0.1)
         assert system.nodes["n0"].listener.state.open == 0
 
 
-class TestCallersBytes:
+class TestCallerBytes:
     @settings(max_examples=25, deadline=None)
     @given(PIECES)
-    def test_node_goes_on(self, pieces):
+    def test_node_keeps_serving(self, pieces):
         clock = MockClock(autojump_threshold=0)
-        trio.run(sound_after, pieces, clock=clock)
+        trio.run(check_node_after, pieces, clock=clock)
 
 
-async def answered_by(data: bytes) -> None:
-    """Let a server answer any bytes; the caller gets a status or a broken answer."""
+async def check_server_response(data: bytes) -> None:
+    """Let a server send any bytes; the caller gets a status or a broken response."""
     async with platform_system(plain=1, models=0) as system:
         server = system.servers["p0"]
-        sound = server.serve
+        original_serve = server.serve
 
-        async def rubbish(arrival, wire):
+        async def send_bytes(arrival, wire):
             arrival.has_run = True
             await wire.send(data)
             wire.close()
 
-        server.serve = rubbish
-        answer = await system.ask("/book/x")
-        assert answer.status in (0, 502) or answer.body is not None
-        if answer.status == 200:
-            assert answer.headers["rosemaryknot-instance-signature"]
-        server.serve = sound
-        answer = await system.ask("/book/x", request_id="next")
-        assert answer.status in (200, 503)
+        server.serve = send_bytes
+        response = await system.ask("/book/x")
+        assert response.status in (0, 502) or response.body is not None
+        if response.status == 200:
+            assert response.headers["rosemaryknot-instance-signature"]
+        server.serve = original_serve
+        response = await system.ask("/book/x", request_id="next")
+        assert response.status in (200, 503)
 
 
-class TestServersBytes:
+class TestServerBytes:
     @settings(max_examples=25, deadline=None)
     @given(
         st.binary(max_size=200)
@@ -88,11 +88,11 @@
             st.binary(max_size=60),
         )
     )
-    def test_caller_gets_no_strangers_answer(self, data):
-        trio.run(answered_by, data, clock=MockClock(autojump_threshold=0))
+    def test_caller_gets_only_own_response(self, data):
+        trio.run(check_server_response, data, clock=MockClock(autojump_threshold=0))
 
 
-class TestStreamsBytes:
+class TestEventSplitter:
     @given(st.lists(st.binary(max_size=20)))
     def test_nothing_is_lost_or_added(self, chunks):
         splitter = EventSplitter()
@@ -102,7 +102,7 @@
 
 class TestSettings:
     @given(st.binary(max_size=200) | st.text().map(lambda t: json.dumps(t).encode()))
-    def test_any_file(self, tmp_path_factory, data):
+    def test_arbitrary_file(self, tmp_path_factory, data):
         path = tmp_path_factory.mktemp("settings") / "node.json"
         path.write_bytes(data)
         assert not isinstance(load_node_settings(path), NodeSettings)
--- a/tests/gateway/test_hubs.py
+++ b/tests/gateway/test_hubs.py
@@ -139,7 +139,7 @@
             await self.ask(fleet, 9, 8, taken)
         assert self.most_in_a_window(taken) < self.allowed
 
-    async def test_zone_is_cut_off(self, autojump_clock):
+    async def test_zone_partition(self, autojump_clock):
         """Both sides of a cut zone took the whole limit, for none heard the other."""
         taken = []
         async with self.fleet() as fleet:
--- a/tests/gateway/test_owed_answers.py
+++ b/tests/gateway/test_owed_answers.py
@@ -1,4 +1,4 @@
-"""Answers that a node owes its callers, and the lines that name those it cuts."""
+"""Tests of pending responses and of the log lines for aborted ones."""
 
 import contextlib
 import json
@@ -16,14 +16,14 @@
     platform_system,
 )
 
-# Longer than the grace of a planned stop, so that the stop cuts it.
-LONG = {
+# Runs longer than the grace period of a shutdown, so that the shutdown aborts it.
+LONG_REQUEST_HEADERS = {
     "Rosemaryknot_Token_Usage": "10,250",
     "Rosemaryknot_Deadline_Ms": "12000",
 }
 
 
-def patient_document() -> dict:
+def long_timeout_document() -> dict:
     """Return a configuration whose streams may take twelve seconds."""
     patient = document()
     patient["routes"][0]["timeoutMs"] = 12000
@@ -31,14 +31,14 @@
 
 
 class LogPipe:
-    """A pipe that takes a process's lines, with its reading end."""
+    """Pipe that receives the log lines of a process, with both of its ends."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
         os.set_blocking(self.reader, False)
 
     def lines(self, *events: str) -> list[dict]:
-        """Return the lines of these events written since the last call."""
+        """Return the log lines of these events written since the last call."""
         data = b""
         try:
             while chunk := os.read(self.reader, 1 << 20):
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def log():
-    """Return a pipe that the process logs to."""
+    """Provide a pipe to which the process logs."""
     pipe = LogPipe()
     logs.configure_logs("json", fd=pipe.writer)
     yield pipe
@@ -60,39 +60,39 @@
     os.close(pipe.reader)
 
 
-class TestPlannedStop:
-    async def test_cut_answer_is_named(self, autojump_clock, log):
-        """A node stops while a stream runs that is longer than its grace.
+class TestGracefulShutdown:
+    async def test_aborted_response_is_logged(self, autojump_clock, log):
+        """A node stops while a stream runs longer than the grace period.
 
-        The caller has the beginning of the stream and a closed connection. Asked for
-        its id, the node's log has to say that the stop cut it, where it ran, since
-        when, and how far it was; the number in the last line is that of these lines.
+        The caller gets the beginning of the stream and a closed connection. For its
+        id, the log must say that the shutdown aborted it, at which server it ran, since
+        when and how much was sent. The count in the last line must match these lines.
         """
-        async with platform_system(configuration=patient_document()) as fleet:
+        async with platform_system(configuration=long_timeout_document()) as fleet:
             fleet.servers["m0"].work_s = fleet.servers["m1"].work_s = 0.2
             caller = await fleet.caller().open()
-            await caller.send("/plan/x", request_id="long", **LONG)
+            await caller.send("/plan/x", request_id="long", **LONG_REQUEST_HEADERS)
             await trio.sleep(1)
             fleet.stops["n0"].set()
-            answer = await caller.receive()
-            assert answer.status == 200 and not answer.is_whole
-            cut, stopped = log.lines("cut off", "stopped")
-            assert cut["request"] == "long" and cut["cause"] == "planned stop"
-            assert cut["phase"] == "answering" and cut["route"] == "plan"
-            assert cut["server"] in ("m0", "m1")
-            assert cut["taken_after_stop_s"] == pytest.approx(-1, abs=0.1)
-            assert cut["ran_s"] == pytest.approx(8.4, abs=0.1)
-            assert cut["left_s"] == pytest.approx(12 - 8.4, abs=0.1)
-            assert cut["max_output"] == 250
-            assert cut["sent_bytes"] == len(answer.body) > 0
+            response = await caller.receive()
+            assert response.status == 200 and not response.is_whole
+            aborted, stopped = log.lines("cut off", "stopped")
+            assert aborted["request"] == "long" and aborted["cause"] == "planned stop"
+            assert aborted["phase"] == "answering" and aborted["route"] == "plan"
+            assert aborted["server"] in ("m0", "m1")
+            assert aborted["taken_after_stop_s"] == pytest.approx(-1, abs=0.1)
+            assert aborted["ran_s"] == pytest.approx(8.4, abs=0.1)
+            assert aborted["left_s"] == pytest.approx(12 - 8.4, abs=0.1)
+            assert aborted["max_output"] == 250
+            assert aborted["sent_bytes"] == len(response.body) > 0
             assert stopped["event"] == "stopped" and stopped["cut_off"] == 1
 
-    async def test_body_that_comes_slowly_is_counted(self, autojump_clock, log):
-        """At the end of a planned stop a caller is still sending a body.
+    async def test_slow_body_is_counted(self, autojump_clock, log):
+        """At the end of a graceful shutdown a caller is still sending a body.
 
-        Its request is read in part, its connection is closed without an answer, and
-        nothing names it. A head that has not come whole is counted apart: nobody
-        knows yet what it asks for.
+        Its request was read in part and its connection closed without a response, and
+        no log line had its id. An incomplete head is counted separately, since the
+        request is not known yet.
         """
         async with platform_system() as fleet:
             slow = await fleet.caller().open()
@@ -107,35 +107,37 @@
             half = await fleet.caller().open()
             await half.stream.send_all(b"GET /stock/x HT")
             await trio.sleep(1)
-            cut, stopped = log.lines("cut off", "stopped")
-            assert cut["request"] == "slow" and cut["phase"] == "reading its body"
+            aborted, stopped = log.lines("cut off", "stopped")
+            assert (
+                aborted["request"] == "slow" and aborted["phase"] == "reading its body"
+            )
             assert stopped["cut_off"] == 1 and stopped["heads_unread"] == 1
 
-    async def test_stop_that_is_cut_short(self, autojump_clock, log):
-        """A second signal ends a planned stop while an answer is owed.
+    async def test_interrupted_shutdown(self, autojump_clock, log):
+        """A second signal ends a graceful shutdown while a response is pending.
 
-        The stop ended before its last line, so that neither the number of answers
-        that were cut nor any of their ids was told.
+        The shutdown ended before its last log line, so neither the number of aborted
+        responses nor any of their ids was logged.
         """
-        async with platform_system(configuration=patient_document()) as fleet:
+        async with platform_system(configuration=long_timeout_document()) as fleet:
             fleet.servers["m0"].work_s = fleet.servers["m1"].work_s = 0.2
             caller = await fleet.caller().open()
-            await caller.send("/plan/x", request_id="long", **LONG)
+            await caller.send("/plan/x", request_id="long", **LONG_REQUEST_HEADERS)
             await trio.sleep(0.5)
             fleet.stops["n0"].set()
             await trio.sleep(1)
             fleet.scopes["n0"].cancel()
             await trio.sleep(0.1)
-            cut, stopped = log.lines("cut off", "stopped")
-            assert cut["request"] == "long" and cut["cause"] == "planned stop"
+            aborted, stopped = log.lines("cut off", "stopped")
+            assert aborted["request"] == "long" and aborted["cause"] == "planned stop"
             assert stopped["cut_off"] == 1
             assert stopped["took_s"] == pytest.approx(1, abs=0.1)
 
-    async def test_reader_that_is_behind(self, autojump_clock, log):
-        """The collector of the lines is behind when a stop ends, and reads on later.
+    async def test_log_reader_lags(self, autojump_clock, log):
+        """The log collector lags when a shutdown ends, and reads on later.
 
-        The pipe was full at the last lines. The end of the stop has to ask that they
-        are held, or nobody learns what it cut.
+        The pipe was full when the last lines were written. They must be buffered at the
+        end of the shutdown, or the log does not show what it aborted.
         """
         async with platform_system() as fleet:
             fleet.stops["n0"].set()
@@ -149,7 +151,7 @@
             logs.flush_lines()
             assert len(log.lines("stopped")) == 1
 
-    async def test_whole_stop_names_nobody(self, autojump_clock, log):
+    async def test_complete_shutdown_logs_no_aborts(self, autojump_clock, log):
         async with platform_system() as fleet:
             await fleet.ask("/plan/x", request_id="short", **MODEL_HEADERS)
             fleet.stops["n0"].set()
@@ -158,27 +160,27 @@
             assert stopped["cut_off"] == 0 and stopped["heads_unread"] == 0
 
 
-class TestCallersWhoLeave:
-    async def test_in_the_middle_of_an_answer(self, autojump_clock, log):
+class TestCallerDisconnects:
+    async def test_disconnect_during_response(self, autojump_clock, log):
         """A caller closes its connection while its stream runs.
 
-        The request is cancelled, and the log had nothing under its id: neither that
-        it was taken nor how it ended.
+        The request is cancelled, and the log had no line with its id: neither that it
+        was accepted nor how it ended.
         """
-        async with platform_system(configuration=patient_document()) as fleet:
+        async with platform_system(configuration=long_timeout_document()) as fleet:
             fleet.servers["m0"].work_s = fleet.servers["m1"].work_s = 0.2
             caller = await fleet.caller().open()
-            await caller.send("/plan/x", request_id="gone", **LONG)
+            await caller.send("/plan/x", request_id="gone", **LONG_REQUEST_HEADERS)
             await trio.sleep(1)
             await caller.close()
             await trio.sleep(0.1)
-            [cut] = log.lines("cut off", "answered", "broke off")
-            assert cut["event"] == "cut off" and cut["request"] == "gone"
-            assert cut["cause"] == "the caller left" and cut["route"] == "plan"
-            assert cut["taken_after_stop_s"] is None
-            assert cut["sent_bytes"] > 0
+            [aborted] = log.lines("cut off", "answered", "broke off")
+            assert aborted["event"] == "cut off" and aborted["request"] == "gone"
+            assert aborted["cause"] == "the caller left" and aborted["route"] == "plan"
+            assert aborted["taken_after_stop_s"] is None
+            assert aborted["sent_bytes"] > 0
 
-    async def test_in_the_middle_of_a_body(self, autojump_clock, log):
+    async def test_disconnect_during_body(self, autojump_clock, log):
         async with platform_system() as fleet:
             caller = await fleet.caller().open()
             await caller.stream.send_all(
@@ -188,25 +190,30 @@
             await trio.sleep(0.1)
             await caller.close()
             await trio.sleep(0.1)
-            [cut] = log.lines("cut off")
-            assert cut["request"] == "half" and cut["cause"] == "the caller left"
-            assert cut["phase"] == "reading its body"
+            [aborted] = log.lines("cut off")
+            assert (
+                aborted["request"] == "half" and aborted["cause"] == "the caller left"
+            )
+            assert aborted["phase"] == "reading its body"
 
-    @pytest.mark.parametrize("taken_at_once", [1.0, 0.5])
-    async def test_reads_nothing(self, autojump_clock, log, monkeypatch, taken_at_once):
-        """A caller reads nothing of a long answer, and is given up after ten seconds.
+    @pytest.mark.parametrize("sent_share", [1.0, 0.5])
+    async def test_caller_reads_nothing(
+        self, autojump_clock, log, monkeypatch, sent_share
+    ):
+        """A caller reads nothing of a long response and is aborted after ten seconds.
 
-        Where the server's connection had not taken the whole request at once, the rest
-        is sent beside the answer. What gave the caller up came wrapped from there, was
-        caught by nobody, and ended the process with all other callers' answers.
+        If the connection to the server did not accept the whole request in one write,
+        the rest is sent while the response is received. There the exception that aborts
+        the caller was wrapped in an exception group. It was not caught and ended the
+        process with the responses of all other callers.
         """
 
         def send_part(stream, data):
-            return gateway_server_send(stream, data[: int(len(data) * taken_at_once)])
+            return original_send_now(stream, data[: int(len(data) * sent_share)])
 
-        gateway_server_send = gateway_server.send_now
+        original_send_now = gateway_server.send_now
         monkeypatch.setattr(gateway_server, "send_now", send_part)
-        patient = patient_document()
+        patient = long_timeout_document()
         patient["routes"][0]["timeoutMs"] = 30000
         async with platform_system(configuration=patient) as fleet:
             fleet.servers["m0"].work_s = fleet.servers["m1"].work_s = 0.0
@@ -218,15 +225,15 @@
                 Rosemaryknot_Deadline_Ms="30000",
             )
             await trio.sleep(12)
-            [cut] = log.lines("cut off")
-            assert cut["request"] == "deaf"
-            assert cut["cause"] == "the caller stood still"
+            [aborted] = log.lines("cut off")
+            assert aborted["request"] == "deaf"
+            assert aborted["cause"] == "the caller stood still"
             assert (await fleet.ask("/stock/x", method="GET")).status == 200
 
-    async def test_reads_a_whole_answer_too_late(
+    async def test_buffered_response_read_too_late(
         self, autojump_clock, log, monkeypatch
     ):
-        """A whole answer is given up a second after its time, and told as answered."""
+        """A response aborted a second after its deadline was logged as answered."""
         read_slowly(monkeypatch, 4)
         async with platform_system() as fleet:
             assert not (await fleet.ask("/stock/x", method="GET")).is_whole
@@ -234,13 +241,13 @@
             assert line["event"] == "broke off" and line["request"] == "r1"
             assert line["reason"] == "the caller did not read it in time"
 
-    async def test_whole_answer_names_nobody(self, autojump_clock, log):
+    async def test_complete_responses_log_no_aborts(self, autojump_clock, log):
         async with platform_system() as fleet:
-            whole = await fleet.ask("/stock/x", method="GET")
-            assert whole.is_whole
+            response = await fleet.ask("/stock/x", method="GET")
+            assert response.is_whole
             assert (await fleet.ask("/none/x")).status == 404
             assert (await fleet.ask("/book/x", body=b"x" * 70000)).status == 413
             await trio.sleep(1)
             [answered] = log.lines("cut off", "answered")
             assert answered["event"] == "answered"
-            assert answered["sent_bytes"] == len(whole.body)
+            assert answered["sent_bytes"] == len(response.body)
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -6,7 +6,7 @@
 
 from rosemaryknot.process import suspension
 from rosemaryknot.process.node_settings import Bounds
-from rosemaryknot.request import gateway_entry
+from rosemaryknot.request import gateway_request_admission
 from rosemaryknot.standin.users.system import (
     HOST,
     KEY,
@@ -460,7 +460,7 @@
             fleet.stops["n0"].set()
             await trio.sleep(4.0)
             lines = Lines()
-            monkeypatch.setattr(gateway_entry, "log", lines)
+            monkeypatch.setattr(gateway_request_admission, "log", lines)
             late = await open_long(fleet, "late")
             assert (await late.receive()).status == 503
             assert len(lines.kept) == 1
--- a/tests/gateway/test_plays.py
+++ b/tests/gateway/test_plays.py
@@ -1,4 +1,4 @@
-"""Seeded plays of load and faults against nodes, held to the promises."""
+"""Seeded simulations of load and faults, checked against the guarantees."""
 
 import json
 
@@ -16,14 +16,15 @@
 )
 from rosemaryknot.standin.users.store import Written
 
-# Drawn faults that meet: a kill in a silent store, a lapse during a stop, cuts.
+# Random faults that overlap: a node killed while the store is silent, an expired entry
+# during a graceful shutdown, network partitions.
 SEEDS = (100, 101, 102, 103, 104, 105)
 
 
 def seen_at(status, path, server=""):
-    """Return one request, sent 9 s after a change of routes and a server's leaving."""
+    """Return one request, sent 9 s after a route change and the drain of a server."""
     routes = [{"pathPrefix": "/new/"}]
-    leaving = {"address": "a:1", "state": "draining", "born": 5}
+    draining = {"address": "a:1", "state": "draining", "born": 5}
     asked = Asked("a", "plain", True, status, b"x answers a", True)
     asked.node, asked.path, asked.sent_s, asked.ended_s = "n0", path, 10.0, 10.1
     return Seen(
@@ -32,14 +33,14 @@
         reached=[Reached(server, "a", 10.1)] if server else [],
         written=[
             Written(1.0, "config", "main", {"version": 7, "routes": routes}),
-            Written(1.0, "servers", "p0", leaving),
+            Written(1.0, "servers", "p0", draining),
         ],
     )
 
 
 class TestPlays:
     @pytest.mark.parametrize("seed", SEEDS)
-    def test_drawn_faults(self, seed):
+    def test_random_faults(self, seed):
         result = run_in_virtual_time(seed, run_play, random_play(seed), seed)
         assert not result.violations
         assert result.outcomes.total() > 200
@@ -51,11 +52,11 @@
         )
         assert first == second
 
-    def test_each_kind_is_drawn(self):
-        drawn = {f["kind"] for seed in range(200) for f in random_play(seed).faults}
-        assert drawn == set(PLAY_FAULTS)
+    def test_each_fault_kind_is_generated(self):
+        generated = {f["kind"] for seed in range(200) for f in random_play(seed).faults}
+        assert generated == set(PLAY_FAULTS)
 
-    def test_file(self, tmp_path):
+    def test_load_from_file(self, tmp_path):
         path = tmp_path / "play.json"
         path.write_text(
             json.dumps({"nodes": 2, "faults": [{"at": 1, "kind": "lapse"}]})
@@ -68,7 +69,7 @@
 
 
 class TestAudit:
-    """Each promise is found broken where it is."""
+    """Each violation of a guarantee is reported."""
 
     @pytest.mark.parametrize(
         ("promise", "seen"),
@@ -89,18 +90,20 @@
             ("leaving_get_nothing", seen_at(200, "/new/x", "p0")),
         ],
     )
-    def test_breach_is_found(self, promise, seen):
+    def test_violation_is_found(self, promise, seen):
         assert [violation.promise for violation in audit(seen)] == [promise]
 
-    @pytest.mark.parametrize("way", ["in_time", "disturbed_node", "earlier_life"])
-    def test_what_no_promise_binds(self, way):
+    @pytest.mark.parametrize(
+        "case", ["in_time", "disturbed_node", "earlier_incarnation"]
+    )
+    def test_permitted_behaviour(self, case):
         seen = seen_at(404, "/new/x", "p0")
-        if way == "in_time":
+        if case == "in_time":
             seen.asked[0].sent_s = seen.asked[0].ended_s = 3.9
             seen.reached[0].at_s = 2.9
             before = {"version": 4, "routes": []}
             seen.written.insert(0, Written(0.0, "config", "main", before))
-        elif way == "disturbed_node":
+        elif case == "disturbed_node":
             seen.disturbances.spans.append(Disturbance("n0", 6.0, 7.5))
         else:
             seen.asked[0].status = 200
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests through a gateway node, by faults of servers and callers."""
+"""Tests of requests through a gateway node, with faults of servers and callers."""
 
 from collections import deque
 
@@ -14,17 +14,17 @@
     route,
 )
 
-WHOLE_STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(10))
+COMPLETE_STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(10))
 
 
 class TestPlainRequests:
-    async def test_is_forwarded_as_it_came(self, autojump_clock):
+    async def test_forwarded_unchanged(self, autojump_clock):
         async with platform_system() as fleet:
-            answer = await fleet.ask("/book/x?y=1&z=%20", body=b"slot 7")
+            response = await fleet.ask("/book/x?y=1&z=%20", body=b"slot 7")
             arrival = fleet.ledger.arrivals[0]
-            assert answer.status == 200 and answer.is_whole
-            assert answer.body.endswith(b"answers r1")
-            assert answer.headers["rosemaryknot-instance-signature"]
+            assert response.status == 200 and response.is_whole
+            assert response.body.endswith(b"answers r1")
+            assert response.headers["rosemaryknot-instance-signature"]
             assert arrival.request.target == "/book/x?y=1&z=%20"
             assert arrival.request.body == b"slot 7"
             assert arrival.request.headers["rosemaryknot-tenant"] == "ada"
@@ -33,11 +33,11 @@
                 1900 < int(arrival.request.headers["rosemaryknot-deadline-ms"]) < 2001
             )
 
-    async def test_headers_that_are_ours_to_set(self, autojump_clock):
+    async def test_reserved_headers_are_not_forwarded(self, autojump_clock):
         """A caller sends headers that reserve memory and name another customer.
 
-        Passed on, they would let it hold what others need and run under a name that
-        is not its own; the server sees none of them.
+        If forwarded, they would let it occupy memory that others need and run under
+        another customer's name. The server receives none of them.
         """
         forged = {
             "Rosemaryknot-Tenant": "eve",
@@ -50,15 +50,15 @@
             "Rosemaryknot-Expect-Instance": "other",
         }
         async with platform_system() as fleet:
-            answer = await fleet.ask("/stock/x", method="GET", **forged)
+            response = await fleet.ask("/stock/x", method="GET", **forged)
             headers = fleet.ledger.arrivals[0].request.headers
-            assert answer.status == 200
+            assert response.status == 200
             assert headers["rosemaryknot-tenant"] == "ada"
             assert headers["rosemaryknot-expect-instance"].startswith("p")
             for name in list(forged)[1:7]:
                 assert name.lower() not in headers
 
-    async def test_refusals_of_our_own(self, autojump_clock):
+    async def test_gateway_refusals(self, autojump_clock):
         async with platform_system() as fleet:
             assert (await fleet.ask("/none/x")).status == 404
             wrong = await fleet.ask("/book/x", Authorization="Bearer wrong")
@@ -68,20 +68,20 @@
             assert large.status == 431
             assert not fleet.ledger.arrivals
 
-    async def test_large_body_within_the_bound(self, autojump_clock):
-        """A caller sends a body that is larger than the bound on headers.
+    async def test_large_body_within_limit(self, autojump_clock):
+        """A caller sends a body that is larger than the limit on headers.
 
-        The bound counted all bytes that had come with the head, and a request that
-        came in one piece was refused with 431 for the size of its body.
+        The limit counted all bytes received together with the head, so a request that
+        arrived in one piece was refused with 431 for the size of its body.
         """
         async with platform_system() as fleet:
             assert (await fleet.ask("/book/x", body=b"x" * 30000)).status == 200
 
     async def test_smuggled_request(self, autojump_clock):
-        """A caller sends a request with a length and with chunks.
+        """A caller sends a request with Content-Length and chunked encoding.
 
-        Servers that take the length would read what the chunks end with as a request
-        of its own; it is refused before anything is passed on.
+        A server that uses the length would parse the bytes after the last chunk as a
+        separate request. It is refused before anything is forwarded.
         """
         async with platform_system() as fleet:
             caller = await fleet.caller().open()
@@ -93,73 +93,74 @@
             assert not fleet.ledger.arrivals
 
     async def test_no_configuration_yet(self, autojump_clock):
-        """A node starts while the store is away, and a caller asks.
+        """A node starts while the store is unreachable, and a request arrives.
 
-        It knows no route; a 404 would say that there is none, so it answers 503.
+        The node knows no routes. A 404 would say that the route does not exist, so it
+        responds with 503.
         """
         async with platform_system(nodes=0) as fleet:
             fleet.store.faults.begin("busy")
             await fleet.add_node(0)
-            answer = await fleet.ask("/book/x")
-            assert answer.status == 503
-            assert float(answer.headers["retry-after"]) < 1
+            response = await fleet.ask("/book/x")
+            assert response.status == 503
+            assert float(response.headers["retry-after"]) < 1
 
 
 class TestRunsOnce:
-    """What may run once runs once, and what says "not run" has not."""
+    """At-most-once requests run once, and a "not run" response is true."""
 
-    async def test_lost_answer_is_not_repeated(self, autojump_clock):
-        """A server runs a booking and its connection is reset before the answer.
+    async def test_lost_response_is_not_retried(self, autojump_clock):
+        """A server runs a booking and its connection is reset before the response.
 
-        Nobody can tell whether it ran, so it is sent nowhere else, and the caller
-        gets a 502, which promises nothing.
+        The gateway cannot know whether it ran, so it does not retry, and the caller
+        gets a 502, which does not say that the request has not run.
         """
         async with platform_system() as fleet:
             for server in fleet.servers.values():
                 server.faults.append("reset")
-            answer = await fleet.ask("/book/x")
-            assert answer.status == 502
+            response = await fleet.ask("/book/x")
+            assert response.status == 502
             assert fleet.ledger.runs_of("r1") == 1
 
-    async def test_full_server_is_a_promise(self, autojump_clock):
+    async def test_full_servers_give_503(self, autojump_clock):
         """All servers refuse a booking as full; the route allows one attempt.
 
-        The caller gets 503 and when to come back, and the request has run nowhere.
+        The caller gets 503 with Retry-After, and the request has run at no server.
         """
         async with platform_system() as fleet:
             for server in fleet.servers.values():
                 server.faults.append("shed")
-            answer = await fleet.ask("/book/x")
-            assert answer.status == 503
-            assert 0 < float(answer.headers["retry-after"]) < 1
+            response = await fleet.ask("/book/x")
+            assert response.status == 503
+            assert 0 < float(response.headers["retry-after"]) < 1
             assert fleet.ledger.runs_of("r1") == 0
 
-    async def test_silent_server(self, autojump_clock):
-        """A server runs a booking and never answers.
+    async def test_server_never_responds(self, autojump_clock):
+        """A server runs a booking and never responds.
 
-        At the end of the caller's time the answer is 504: it may have run. A 503
-        would be a false promise.
+        At the caller's deadline the response is 504, since the request may have run. A
+        503 would wrongly say that it has not.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].faults.append("mute")
-            answer = await fleet.ask("/book/x")
-            assert answer.status == 504
-            assert 1.9 < answer.took_s < 2.3
+            response = await fleet.ask("/book/x")
+            assert response.status == 504
+            assert 1.9 < response.took_s < 2.3
 
-    async def test_answer_at_the_last_moment(self, autojump_clock):
-        """A server answers just as the caller's time ends.
+    async def test_response_at_the_deadline(self, autojump_clock):
+        """A server responds just as the caller's deadline passes.
 
-        The time cut the delivery off, and the caller saw a closed connection though
-        its answer was there; it is delivered.
+        The deadline aborted the delivery, and the caller saw a closed connection
+        although its response was complete. It is now delivered.
         """
         async with platform_system(plain=1) as fleet:
             for work_s in (1.9990, 1.9995, 1.9999, 2.0):
                 fleet.servers["p0"].work_s = work_s
-                answer = await fleet.ask("/book/x", request_id=f"t{work_s}")
-                assert answer.is_whole
-                assert answer.status in (200, 504)
+                response = await fleet.ask("/book/x", request_id=f"t{work_s}")
+                assert response.is_whole
+                assert response.status in (200, 504)
 
-    async def test_what_may_repeat_is_tried_elsewhere(self, autojump_clock):
+    async def test_repeatable_request_is_retried(self, autojump_clock):
         async with platform_system() as fleet:
             for fault in ("reset", "error", "rubbish", "cut_body", "unframed_reset"):
                 for server in fleet.servers.values():
@@ -167,116 +168,117 @@
                 fleet.servers["p0"].faults.append(fault)
                 fleet.servers["p1"].faults.append("")
                 await trio.sleep(5)
-                answer = await fleet.ask("/stock/x", method="GET", request_id=fault)
-                assert (answer.status, answer.is_whole) == (200, True), fault
-                assert answer.body.endswith(fault.encode())
+                response = await fleet.ask("/stock/x", method="GET", request_id=fault)
+                assert (response.status, response.is_whole) == (200, True), fault
+                assert response.body.endswith(fault.encode())
 
     async def test_slow_server(self, autojump_clock):
-        """A server takes a question and says nothing, while another one is sound.
+        """A server accepts a repeatable request and never responds; another works.
 
-        Waited for to the end, the caller would get nothing; a question may run twice,
-        so after twice the wanted time it goes to the other one.
+        If the gateway waited until the deadline, the caller would get nothing. The
+        request may run twice, so after twice the target latency it is sent to the
+        other server.
         """
         async with platform_system() as fleet:
             fleet.servers["p0"].is_mute = True
             for number in range(4):
-                answer = await fleet.ask(
+                response = await fleet.ask(
                     "/stock/x", method="GET", request_id=f"s{number}"
                 )
-                assert answer.status == 200
-                assert answer.took_s < 0.6
+                assert response.status == 200
+                assert response.took_s < 0.6
 
-    async def test_address_of_another_server(self, autojump_clock):
-        """A server is gone and another one has its address.
+    async def test_address_reused_by_another_server(self, autojump_clock):
+        """A server has been removed and another one uses its address.
 
-        It answers 421 to a request that names the first one; the request goes to a
-        sound server and the address gets no more of them.
+        That one responds with 421 to a request for the first server. The request goes
+        to a valid server, and no more requests are sent to the address.
         """
         async with platform_system() as fleet:
             fleet.servers["p0"].id = "someone-else"
             for number in range(6):
-                answer = await fleet.ask(
+                response = await fleet.ask(
                     "/stock/x", method="GET", request_id=f"a{number}"
                 )
-                assert answer.status == 200
+                assert response.status == 200
             refused = [a for a in fleet.ledger.arrivals if a.ended == "refused"]
             assert len(refused) <= 1
 
 
-class TestAnswersAreOnesOwn:
-    async def test_second_answer(self, autojump_clock):
-        """A server sends an answer twice on a connection that is kept.
+class TestResponseMatching:
+    async def test_duplicate_response(self, autojump_clock):
+        """A server sends a response twice on a persistent connection.
 
-        The next request on it would get the answer of the one before; the bytes that
-        lie unread show, and the connection is not used again.
+        The next request on it would get the response of the previous one. The unread
+        bytes are detected, and the connection is not reused.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].faults.append("extra")
             for number in range(3):
-                answer = await fleet.ask(
+                response = await fleet.ask(
                     "/stock/x", method="GET", request_id=f"e{number}"
                 )
-                assert answer.body == f"p0 answers e{number}".encode()
+                assert response.body == f"p0 answers e{number}".encode()
 
-    async def test_second_answer_that_comes_late(self, autojump_clock):
-        """The second answer comes when the next request has just gone out.
+    async def test_late_duplicate_response(self, autojump_clock):
+        """The duplicate arrives just after the next request was sent.
 
-        It lies where that request's answer is due; its id tells that it belongs to
-        another one, and the right one behind it is read.
+        It is read in place of that request's response. Its id shows that it belongs to
+        another request, and the right response behind it is used.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].faults.append("late_extra")
             for number in range(3):
-                answer = await fleet.ask(
+                response = await fleet.ask(
                     "/stock/x", method="GET", request_id=f"l{number}"
                 )
-                assert answer.body == f"p0 answers l{number}".encode()
+                assert response.body == f"p0 answers l{number}".encode()
 
-    async def test_answer_without_length(self, autojump_clock):
+    async def test_response_without_length(self, autojump_clock):
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].faults.append("unframed")
-            answer = await fleet.ask("/book/x")
-            assert (answer.status, answer.is_whole) == (200, True)
+            response = await fleet.ask("/book/x")
+            assert (response.status, response.is_whole) == (200, True)
 
-    async def test_unsigned_success(self, autojump_clock):
-        """Something answers 200 without the server's signature.
+    async def test_unsigned_response(self, autojump_clock):
+        """A 200 response lacks the server's signature.
 
-        Passed on, the caller would take a stranger's bytes for its answer.
+        If relayed, the caller would accept a response of an unknown process as its own.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].faults.append("unsigned")
             assert (await fleet.ask("/book/x")).status == 502
 
-    async def test_servers_failure_is_passed_on(self, autojump_clock):
+    async def test_server_error_is_relayed(self, autojump_clock):
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].faults.append("error")
-            answer = await fleet.ask("/book/x")
-            assert answer.status == 500
-            assert answer.headers["rosemaryknot-instance-signature"] == "p0.sig"
-            assert answer.body == b"failed"
+            response = await fleet.ask("/book/x")
+            assert response.status == 500
+            assert response.headers["rosemaryknot-instance-signature"] == "p0.sig"
+            assert response.body == b"failed"
 
 
 class TestStreams:
-    async def test_whole_stream(self, autojump_clock):
+    async def test_complete_stream(self, autojump_clock):
         async with platform_system() as fleet:
-            answer = await fleet.ask("/plan/x", **MODEL_HEADERS)
-            assert (answer.status, answer.is_whole) == (200, True)
-            assert answer.body == WHOLE_STREAM
+            response = await fleet.ask("/plan/x", **MODEL_HEADERS)
+            assert (response.status, response.is_whole) == (200, True)
+            assert response.body == COMPLETE_STREAM
 
-    async def test_resumed_behind_the_last_whole_event(self, autojump_clock):
-        """A server breaks a resumable stream off in the middle of its third event.
+    async def test_resumed_after_last_complete_event(self, autojump_clock):
+        """A server interrupts a resumable stream in the middle of its third event.
 
-        The torn event is not passed on; the stream goes on at another server behind
-        the second one, and the caller sees one whole stream.
+        The incomplete event is not relayed. The stream is resumed at another server
+        after the second event, and the caller receives one complete stream.
         """
         async with platform_system() as fleet:
             fleet.servers["m0"].faults.append("cut_event")
             fleet.servers["m1"].faults.append("")
             await fleet.ask("/ask/x", request_id="first", **MODEL_HEADERS)
             fleet.servers["m1"].faults.append("cut_event")
-            answer = await fleet.ask("/ask/x", request_id="second", **MODEL_HEADERS)
-            assert (answer.status, answer.is_whole) == (200, True)
-            assert answer.body == WHOLE_STREAM
+            response = await fleet.ask("/ask/x", request_id="second", **MODEL_HEADERS)
+            assert (response.status, response.is_whole) == (200, True)
+            assert response.body == COMPLETE_STREAM
             resumed = [
                 a.request.headers["last-event-id"]
                 for a in fleet.ledger.arrivals
@@ -284,36 +286,36 @@
             ]
             assert set(resumed) == {"1"}
 
-    async def test_broken_stream_looks_broken(self, autojump_clock):
-        """A server breaks a stream off that may not be resumed.
+    async def test_interrupted_stream_is_not_terminated(self, autojump_clock):
+        """A server interrupts a stream that may not be resumed.
 
-        The caller gets the whole events and then a closed connection without the last
-        chunk, so that it cannot take the beginning for all.
+        The caller gets the complete events and then a closed connection without the
+        last chunk, so that it cannot mistake the beginning for the whole stream.
         """
         async with platform_system(models=1) as fleet:
             fleet.servers["m0"].faults.append("cut_event")
-            answer = await fleet.ask("/plan/x", **MODEL_HEADERS)
-            assert answer.status == 200 and not answer.is_whole
-            assert answer.body == WHOLE_STREAM[: len(answer.body)]
-            assert answer.body.endswith(b"\n\n")
+            response = await fleet.ask("/plan/x", **MODEL_HEADERS)
+            assert response.status == 200 and not response.is_whole
+            assert response.body == COMPLETE_STREAM[: len(response.body)]
+            assert response.body.endswith(b"\n\n")
             assert fleet.ledger.runs_of("r1") == 1
 
-    async def test_not_resumed_as_a_failure(self, autojump_clock):
-        """A stream has begun, and the server that should go on fails.
+    async def test_failed_resumption_closes_connection(self, autojump_clock):
+        """A stream has started, and the server that should resume it fails.
 
-        A status cannot follow a stream's beginning: the connection is closed.
+        A status cannot follow the beginning of a stream, so the connection is closed.
         """
         async with platform_system() as fleet:
             queue = deque(["cut_event", "error"])
             fleet.servers["m0"].faults = fleet.servers["m1"].faults = queue
-            answer = await fleet.ask("/ask/x", **MODEL_HEADERS)
+            response = await fleet.ask("/ask/x", **MODEL_HEADERS)
             assert not queue
-            assert answer.status == 200 and not answer.is_whole
-            assert answer.body == WHOLE_STREAM[: len(answer.body)]
+            assert response.status == 200 and not response.is_whole
+            assert response.body == COMPLETE_STREAM[: len(response.body)]
 
 
 class TestOverload:
-    """Servers have more prompts than they can read in time."""
+    """Servers have more prompts queued than they can prefill in time."""
 
     @staticmethod
     def configuration():
@@ -323,7 +325,7 @@
         return config
 
     @staticmethod
-    def pile_up(fleet, tokens):
+    def set_backlog(fleet, tokens):
         table = fleet.nodes["n0"].state.servers
         table.rate_samples = 100
         now_s = trio.current_time()
@@ -331,61 +333,63 @@
             state.peers["other"] = PeerLoad(20, tokens, now_s)
         return table
 
-    async def test_least_urgent_is_refused_at_once(self, autojump_clock):
-        """Two servers are gone in a burst, and prompts pile up at the others.
+    async def test_lowest_priority_is_refused_immediately(self, autojump_clock):
+        """Two servers are removed during a burst, and prompts queue at the others.
 
-        A plan would get its first event long after the wanted time and delay all
-        behind it. It is refused before it is sent, with the time at which the pile
-        is read, and takes nothing of its customer's limit. A question goes through.
+        A request to the low-priority route would get its first event long after the
+        target time and delay all behind it. It is refused before it is sent, with the
+        time until the queue is processed, and uses no units of its customer's limit. A
+        request of higher priority is admitted.
         """
         async with platform_system(configuration=self.configuration()) as fleet:
-            table = self.pile_up(fleet, round(FIRST_RATE * 0.5))
-            answer = await fleet.ask("/plan/x", **MODEL_HEADERS)
-            assert answer.status == 503
-            assert answer.took_s < 0.1
-            assert 0.3 < float(answer.headers["retry-after"]) < 0.8
+            table = self.set_backlog(fleet, round(FIRST_RATE * 0.5))
+            response = await fleet.ask("/plan/x", **MODEL_HEADERS)
+            assert response.status == 503
+            assert response.took_s < 0.1
+            assert 0.3 < float(response.headers["retry-after"]) < 0.8
             assert not fleet.ledger.arrivals
             assert fleet.nodes["n0"].quota.accounts["ada"].taken == 0
             assert (await fleet.ask("/ask/x", **MODEL_HEADERS)).status == 200
             assert table.rate_samples >= 100
 
     async def test_long_prompt_at_an_idle_server(self, autojump_clock):
-        """A plan's own prompt takes longer to read than is wanted; nothing waits.
+        """Prefill of a low-priority prompt exceeds the target time; no others wait.
 
-        Refused as if the servers were full, the longest prompts would never be
-        served, at any hour.
+        If it were refused as if the servers were full, the longest prompts would never
+        be served, whatever the load.
         """
         config = self.configuration()
         config["tenants"][0] |= {"ratePerS": 0}
         async with platform_system(configuration=config) as fleet:
-            self.pile_up(fleet, 0)
+            self.set_backlog(fleet, 0)
             headers = MODEL_HEADERS | {"Rosemaryknot-Token-Usage": "60000,100"}
-            answer = await fleet.ask("/plan/x", **headers)
-            assert answer.status == 200
+            response = await fleet.ask("/plan/x", **headers)
+            assert response.status == 200
 
-    async def test_hopeless_is_refused_at_once(self, autojump_clock):
-        """A question would get its first event after its caller has gone."""
+    async def test_unreachable_deadline_is_refused_immediately(self, autojump_clock):
+        """A request would get its first event after the deadline of its caller."""
         async with platform_system(configuration=self.configuration()) as fleet:
-            self.pile_up(fleet, round(FIRST_RATE * 2.5))
-            answer = await fleet.ask("/ask/x", **MODEL_HEADERS)
-            assert answer.status == 503 and answer.took_s < 0.1
+            self.set_backlog(fleet, round(FIRST_RATE * 2.5))
+            response = await fleet.ask("/ask/x", **MODEL_HEADERS)
+            assert response.status == 503 and response.took_s < 0.1
 
     async def test_unknown_rate_refuses_nothing(self, autojump_clock):
-        """Nobody has measured yet how fast the servers read.
+        """The prefill rate of the servers has not been measured yet.
 
-        Taken for slow ones, fast servers would idle beside refused callers.
+        If they were assumed to be slow, fast servers would be idle while requests are
+        refused.
         """
         async with platform_system(configuration=self.configuration()) as fleet:
-            self.pile_up(fleet, round(FIRST_RATE * 2.5)).rate_samples = 0
+            self.set_backlog(fleet, round(FIRST_RATE * 2.5)).rate_samples = 0
             assert (await fleet.ask("/plan/x", **MODEL_HEADERS)).status == 200
 
 
-class TestCallersWhoLeave:
-    async def test_waiting_caller(self, autojump_clock):
-        """A caller closes its connection while it waits for a first byte.
+class TestCallerDisconnects:
+    async def test_disconnect_while_waiting(self, autojump_clock):
+        """A caller closes its connection while it waits for the first byte.
 
-        Nothing is sent to it, so only a read shows it. Its server must not go on
-        working for nobody: its connection is closed at once.
+        Nothing is sent to the caller, so only a read detects this. The connection to
+        the server is closed immediately, so that it does not continue the work.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].work_s = 1.5
@@ -398,7 +402,7 @@
             await trio.sleep(3)
             assert fleet.ledger.arrivals[0].ended == "cut"
 
-    async def test_while_it_uploads(self, autojump_clock):
+    async def test_disconnect_during_upload(self, autojump_clock):
         async with platform_system(plain=1) as fleet:
             caller = await fleet.caller().open()
             await caller.stream.send_all(
@@ -411,13 +415,13 @@
             assert fleet.nodes["n0"].listener.state.open == 0
             assert not fleet.ledger.arrivals
 
-    async def test_kept_connection(self, autojump_clock):
+    async def test_persistent_connection(self, autojump_clock):
         async with platform_system(plain=1) as fleet:
             caller = await fleet.caller().open()
             for number in range(3):
                 await caller.send("/stock/x", method="GET", request_id=f"k{number}")
-                answer = await caller.receive()
-                assert answer.body.endswith(f"k{number}".encode())
+                response = await caller.receive()
+                assert response.body.endswith(f"k{number}".encode())
                 caller.reuse()
                 await trio.sleep(4)
 
@@ -444,7 +448,7 @@
             known = fleet.nodes["n0"].state.configuration
             assert known.route_of(HOST, "/a/b/c").name == "some"
             assert known.route_of(HOST, "/a/c").name == "all"
-            answer = await fleet.ask("/a/b/c", Authorization=None)
-            assert answer.status == 200
+            response = await fleet.ask("/a/b/c", Authorization=None)
+            assert response.status == 200
             for _ in range(5):
                 assert (await fleet.ask("/a/c")).status == 200
--- a/tests/process/limit_fleet.py
+++ b/tests/process/limit_fleet.py
@@ -1,4 +1,4 @@
-"""Owners of limits and entries, over calls that can be lost, cut and frozen."""
+"""Limit owners and entries, with lost calls, network partitions and frozen nodes."""
 
 from types import SimpleNamespace
 
@@ -20,22 +20,22 @@
 
 
 class LimitNode:
-    """An agent's part in the limits, and the entry of its node.
+    """Limit owner of an agent, and the entry of its node.
 
-    ``sees`` are the nodes that it takes to live, by name.
+    ``visible_nodes`` holds the names of the nodes that it considers live.
     """
 
     def __init__(self, fleet, name, zone):
         self.fleet = fleet
         self.node = Node(name, zone, 1)
-        self.sees = set()
+        self.visible_nodes = set()
         self.is_frozen = False
-        self.agent_is_gone = False
+        self.is_agent_stopped = False
         self.handlers = Handlers()
         self.owner = LimitOwner(self.node, self, self, self.handlers, fleet.settle_s)
         self.entry = EntryBudgets(self.node, SimpleNamespace(call=self.call_agent))
 
-    # What the owner asks of configuration and membership
+    # Interface `LimitSource` of the owner.
 
     def limit(self, key):
         return self.fleet.limit
@@ -45,17 +45,19 @@
 
     def members(self, zone):
         nodes = [n.node for n in self.fleet.nodes.values() if n.node.zone == zone]
-        live = [node for node in nodes if node.name in self.sees | {self.node.name}]
+        live = [
+            node for node in nodes if node.name in self.visible_nodes | {self.node.name}
+        ]
         known = [node for node in nodes if node.name not in self.fleet.terminated]
         return ZoneMembers(tuple(live), len(known))
 
-    # Calls
+    # Calls.
 
     async def call(self, name, value, timeout_s):
         return await self.fleet.call(self, name, value, "agent", timeout_s)
 
     async def call_agent(self, value, timeout_s):
-        if self.agent_is_gone:
+        if self.is_agent_stopped:
             return CallFailed("closed", maybe_handled=False)
         return await self.fleet.call(self, self.node.name, value, "entry", timeout_s)
 
@@ -65,10 +67,11 @@
 
 
 class LimitFleet:
-    """Nodes of some zones.
+    """Nodes in several zones.
 
-    ``lose`` is asked of each answer whether it is lost, by caller, callee and
-    message; ``cuts`` holds pairs of zones that cannot reach each other.
+    ``loses_response`` is called with caller, callee and message, and returns whether
+    the response is lost. ``partitions`` holds pairs of zones that cannot reach each
+    other.
     """
 
     def __init__(self, limit, zones, per_zone=2, settle_s=SETTLE_S):
@@ -76,15 +79,15 @@
         self.settle_s = settle_s
         self.nodes = {}
         self.terminated = set()
-        self.cuts = set()
-        self.lose = lambda source, target, value: False
+        self.partitions = set()
+        self.loses_response = lambda source, target, value: False
         self.asks = self.transfers = 0
         for zone in zones:
             for number in range(1, per_zone + 1):
                 name = f"{zone}-{number}"
                 self.nodes[name] = LimitNode(self, name, zone)
         for node in self.nodes.values():
-            node.sees = set(self.nodes)
+            node.visible_nodes = set(self.nodes)
 
     async def run(self, nursery, settled=True):
         for node in self.nodes.values():
@@ -96,8 +99,8 @@
     async def run_owner(self, node):
         while True:
             if not node.is_frozen:
-                node.owner.look()
-                node.owner.forget_idle()
+                node.owner.refresh_members()
+                node.owner.evict_idle()
                 await node.owner.transfers.renew()
             await trio.sleep(0.5)
 
@@ -106,35 +109,35 @@
         self.transfers += isinstance(value, BudgetTransfer)
         node = self.nodes[target]
         zones = frozenset((source.node.zone, node.node.zone))
-        if node.is_frozen or zones in self.cuts or target in self.terminated:
+        if node.is_frozen or zones in self.partitions or target in self.terminated:
             await trio.sleep(timeout_s)
             return CallFailed("timeout", maybe_handled=True)
         await trio.sleep(0.0005)
         sent, _, _ = decode_message(encode_message(value))
         hello = SimpleNamespace(role=role, name=source.node.name)
         handler = node.handlers.by_type[type(sent)]
-        answer = await handler(sent, SimpleNamespace(hello=hello))
-        if self.lose(source, node, sent):
+        response = await handler(sent, SimpleNamespace(hello=hello))
+        if self.loses_response(source, node, sent):
             await trio.sleep(timeout_s)
             return CallFailed("timeout", maybe_handled=True)
-        return decode_message(encode_message(answer))[0]
+        return decode_message(encode_message(response))[0]
 
     def owner(self, zone):
         nodes = [n.node for n in self.nodes.values() if n.node.zone == zone]
         return self.nodes[owner_of(KEY, nodes).name]
 
-    def others(self, zone):
+    def non_owners(self, zone):
         owner = self.owner(zone)
         nodes = [n for n in self.nodes.values() if n.node.zone == zone]
         return [node for node in nodes if node is not owner]
 
-    def cut_zone(self, zone):
+    def partition_zone(self, zone):
         for other in {n.node.zone for n in self.nodes.values()} - {zone}:
-            self.cuts.add(frozenset((zone, other)))
+            self.partitions.add(frozenset((zone, other)))
 
 
 async def flood(nodes, seconds, tokens, gap_s, max_wait_s=0.0):
-    """Send requests of ``tokens`` to each node in turn; return tokens admitted."""
+    """Send requests of ``tokens`` to the nodes round-robin; return admitted tokens."""
     admitted = 0.0
     end_s = trio.current_time() + seconds
     async with trio.open_nursery() as nursery:
@@ -154,18 +157,18 @@
     return admitted
 
 
-async def hold(nodes, seconds, gap_s, held_s):
-    """Hold slots of requests; return the most that were held at once."""
-    running = most = 0
+async def hold_slots(nodes, seconds, gap_s, held_s):
+    """Send requests that hold slots; return the maximum held at the same time."""
+    running = max_running = 0
     end_s = trio.current_time() + seconds
     async with trio.open_nursery() as nursery:
 
         async def send(node):
-            nonlocal running, most
+            nonlocal running, max_running
             charge = await node.take(0)
             if isinstance(charge, Charge):
                 running += 1
-                most = max(most, running)
+                max_running = max(max_running, running)
                 await trio.sleep(held_s)
                 charge.settle()
                 running -= 1
@@ -175,7 +178,7 @@
             nursery.start_soon(send, nodes[number % len(nodes)])
             number += 1
             await trio.sleep(gap_s)
-    return most
+    return max_running
 
 
 def tokens_per_minute(tokens):
--- a/tests/process/placement_fleet.py
+++ b/tests/process/placement_fleet.py
@@ -1,4 +1,4 @@
-"""The whole system in virtual time with placements, and what the platform saw."""
+"""System with placements in virtual time, for tests of placement."""
 
 import trio
 from trio.testing import MockClock
@@ -14,15 +14,15 @@
 
 
 class Fleet:
-    """A running system whose instances are started by its own placement."""
+    """A running system whose placement starts its own instances."""
 
     def __init__(self, system):
         self.system = system
         self.platform = system.platform
         self.cloud = system.platform.cloud
 
-    def live(self, zone=None):
-        """Return the names of the live instances of the service, by the truth."""
+    def live_instances(self, zone=None):
+        """Return the live instances of the service according to the platform."""
         return sorted(
             server.instance
             for server in self.cloud.servers.values()
@@ -31,11 +31,11 @@
             and zone in (None, server.zone)
         )
 
-    def counts(self):
-        return {zone: len(self.live(zone)) for zone in ZONES}
+    def live_counts(self):
+        return {zone: len(self.live_instances(zone)) for zone in ZONES}
 
     def duties(self):
-        """Return the placement duties of all nodes by the node's name."""
+        """Return the placement duties of all nodes by node name."""
         return {
             name: node.agent_process.placement.duties[MODEL]
             for name, node in self.system.nodes.items()
@@ -44,28 +44,28 @@
         }
 
     def holders(self):
-        """Return the nodes that believe that they hold the lease."""
+        """Return the nodes that consider themselves holder of the lease."""
         duties = self.duties().items()
         return [name for name, duty in duties if duty.lease.is_held()]
 
-    async def holder(self, other_than=""):
-        """Wait for a holder and return its name and duty."""
+    async def wait_for_holder(self, other_than=""):
+        """Wait for a lease holder and return its name and duty."""
         while not [name for name in self.holders() if name != other_than]:
             await trio.sleep(0.1)
         name = next(name for name in self.holders() if name != other_than)
         return name, self.duties()[name]
 
-    async def until(self, condition, bound_s):
-        """Wait until a condition holds; return how long it took, in seconds."""
+    async def wait_until(self, condition, timeout_s):
+        """Wait until a condition holds and return the elapsed time in seconds."""
         begin_s = trio.current_time()
-        with trio.fail_after(bound_s):
+        with trio.fail_after(timeout_s):
             while not condition():
                 await trio.sleep(0.1)
         return trio.current_time() - begin_s
 
 
-def run_fleet(story, per_zone=2, servers=0, share=0.5, service=None, **safeguards):
-    """Run an async function of a fleet in virtual time and return its result."""
+def run_fleet(scenario, per_zone=2, servers=0, share=0.5, service=None, **safeguards):
+    """Run an async function with a fleet in virtual time and return its result."""
     placement = {"count": per_zone, "classes": CLASSES, "reclaimable_share": share}
     document = {
         "services": {
@@ -90,7 +90,7 @@
             try:
                 await system.start()
                 with trio.fail_after(900.0):
-                    results.append(await story(Fleet(system)))
+                    results.append(await scenario(Fleet(system)))
             finally:
                 system.dispose()
                 nursery.cancel_scope.cancel()
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits over all instances, under what goes wrong between them."""
+"""Tests of limits over all instances, with faults between the nodes."""
 
 import math
 import random
@@ -10,11 +10,11 @@
     LimitFleet,
     concurrent,
     flood,
-    hold,
+    hold_slots,
     tokens_per_minute,
 )
 
-from rosemaryknot.process.limits.budget import USED_SLOT_S
+from rosemaryknot.process.limits.budget import USED_SLOT_TTL_S
 from rosemaryknot.process.limits.shares import slot_share
 from rosemaryknot.request.accounts import Charge
 from rosemaryknot.values.outcomes import NotRun, Reason
@@ -22,7 +22,7 @@
 
 ZONES = ["waco-a", "waco-b", "temple-c"]
 RATE = 6000
-"""Tokens a minute of the customer."""
+"""Limit of the customer in tokens per minute."""
 MINUTE_S = 60
 
 
@@ -35,23 +35,23 @@
 
 class TestSteadyState:
     async def test_all_instances_together(self, autojump_clock, fleet):
-        """A customer sends twice its limit, spread over all instances.
+        """A customer sends twice its limit, distributed over all instances.
 
-        Over a minute it gets its limit: at most what a second fills besides, and
-        no part of its share lies idle. The owners are asked a few times a second
-        for each entry, however many requests come.
+        Within a minute it gets its limit, exceeded by at most the tokens of one
+        second, and no part of the limit stays unused. Each entry asks the owner only
+        a few times per second, independent of the number of requests.
         """
         admitted = await flood(list(fleet.nodes.values()), MINUTE_S, 10, 0.05)
         assert 0.97 * RATE <= admitted <= 1.02 * RATE
         assert fleet.asks / MINUTE_S / len(fleet.nodes) < 10
 
     async def test_one_instance_gets_the_whole_limit(self, autojump_clock, fleet):
-        """The balancer sends all of a customer's requests to one instance.
+        """The load balancer sends all requests of a customer to one instance.
 
-        Its zone has a third of the limit; the rest comes from the other zones, which
-        take it out of theirs first.
+        Its zone has a third of the limit. The rest is transferred from the other
+        zones, which withdraw it from their own budget first.
         """
-        admitted = await flood(fleet.others("waco-a"), MINUTE_S, 10, 0.05)
+        admitted = await flood(fleet.non_owners("waco-a"), MINUTE_S, 10, 0.05)
         assert 0.97 * RATE <= admitted <= 1.02 * RATE
 
     async def test_customer_without_limit_costs_nothing(self, autojump_clock, fleet):
@@ -61,7 +61,7 @@
         assert fleet.asks == asks
 
     async def test_limit_is_changed(self, autojump_clock, fleet):
-        """An operator halves the limit under load, and raises it again."""
+        """An operator halves the limit under load, and then raises it."""
         nodes = list(fleet.nodes.values())
         for tokens in (RATE, RATE / 2, 2 * RATE):
             fleet.limit = tokens_per_minute(tokens)
@@ -71,20 +71,21 @@
     async def test_slots_of_all_zones(self, autojump_clock, nursery):
         fleet = LimitFleet(concurrent(7), ZONES)
         await fleet.run(nursery)
-        assert await hold(fleet.others("waco-a"), 20, 0.05, 2.0) == 7
-        assert await hold(list(fleet.nodes.values()), 20, 0.02, 30.0) == 7
+        assert await hold_slots(fleet.non_owners("waco-a"), 20, 0.05, 2.0) == 7
+        assert await hold_slots(list(fleet.nodes.values()), 20, 0.02, 30.0) == 7
 
 
 class TestRefusal:
-    async def test_immediate_and_exact(self, autojump_clock, fleet):
-        """The limit is used up; a request is refused with when to come back.
+    async def test_refusal_is_immediate_with_exact_retry_time(
+        self, autojump_clock, fleet
+    ):
+        """The limit is used up, so a request is refused with a retry time.
 
-        The refusal comes at once, from what the entry was told last. A caller who
-        comes back at the time that it names is admitted, and one who comes back
-        earlier is not.
+        The entry refuses immediately, based on the latest response of the owner. A
+        retry at the given time is admitted, and an earlier one is refused.
         """
-        fleet.cut_zone("waco-a")
-        [node] = fleet.others("waco-a")
+        fleet.partition_zone("waco-a")
+        [node] = fleet.non_owners("waco-a")
         await flood([node], 3, 10, 0.01)
         asked_s = trio.current_time()
         refusal = await node.take(33)
@@ -96,15 +97,15 @@
         await trio.sleep(refusal.retry_after_s * 0.3 + 0.01)
         assert isinstance(await node.take(33), Charge)
 
-    async def test_debt_outlives_a_pause(self, autojump_clock, nursery):
-        """A request as large as the limit of a minute, and then none for two minutes.
+    async def test_debt_survives_idle_period(self, autojump_clock, nursery):
+        """A request uses the limit of one minute, followed by 150 seconds of silence.
 
-        The zone's share pays for it in three. The owner forgets customers that send
-        nothing, and must not forget what is owed.
+        The zone's share repays this debt in three minutes. The owner evicts budgets
+        of idle customers, but must keep a budget with a debt.
         """
         fleet = LimitFleet(tokens_per_minute(RATE), ZONES)
         await fleet.run(nursery)
-        fleet.cut_zone("waco-a")
+        fleet.partition_zone("waco-a")
         node = fleet.owner("waco-a")
         charge = await node.take(RATE)
         charge.settle(RATE)
@@ -115,7 +116,9 @@
         await trio.sleep(refusal.retry_after_s)
         assert isinstance(await node.take(10), Charge)
 
-    async def test_more_than_a_minute_holds(self, autojump_clock, fleet):
+    async def test_request_larger_than_the_limit_of_a_minute(
+        self, autojump_clock, fleet
+    ):
         refusal = await fleet.owner("waco-a").take(RATE + 1)
         assert (refusal.reason, refusal.retry_after_s) == (Reason.LIMIT_REACHED, 0.0)
 
@@ -123,20 +126,20 @@
 class TestLargeRequests:
     @pytest.mark.parametrize("small_gap_s", [math.inf, 0.05])
     async def test_at_a_third_of_the_limit(self, autojump_clock, fleet, small_gap_s):
-        """Requests of three seconds of a zone's rate come, a third of the limit.
+        """Requests of 3 seconds of the zone's rate arrive at a third of the limit.
 
-        Some come while the bucket still pays for the one before. Each waits for it
-        and is admitted, also while another entry of the zone sends small requests
-        all the time, which would take the tokens as they come.
+        Some arrive while the bucket still repays the previous one. Each waits and is
+        admitted, even while another entry of the zone continuously sends small
+        requests, which would otherwise take the tokens as they accrue.
         """
-        fleet.cut_zone("waco-a")
+        fleet.partition_zone("waco-a")
         rng = random.Random(2)
-        owner, [other] = fleet.owner("waco-a"), fleet.others("waco-a")
-        taken = []
+        owner, [other] = fleet.owner("waco-a"), fleet.non_owners("waco-a")
+        charges = []
 
         async def send_large(node):
             charge = await node.take(100, max_wait_s=5)
-            taken.append(charge)
+            charges.append(charge)
             if isinstance(charge, Charge):
                 await trio.sleep(1)
                 charge.settle(100)
@@ -155,20 +158,20 @@
                     large.start_soon(send_large, other)
                     await trio.sleep(rng.uniform(1.5, 16.5))
             senders.cancel_scope.cancel()
-        assert [type(charge) for charge in taken] == [Charge] * 10
+        assert [type(charge) for charge in charges] == [Charge] * 10
 
     async def test_new_owner(self, autojump_clock, nursery):
-        """All nodes start, and large requests come before an owner may grant.
+        """All nodes start, and large requests arrive before an owner may grant.
 
-        The first is admitted by the entry's fixed share. The next ones wait for the
-        owner where they can, and are refused at once with the time that it takes
-        where not; a caller who comes back then is admitted.
+        The first is admitted by the entry's fixed share. Later requests wait for the
+        owner if their maximum wait allows it. Otherwise they are refused immediately
+        with a retry time, at which a retry is admitted.
         """
         fleet = LimitFleet(tokens_per_minute(RATE), ZONES)
         await fleet.run(nursery, settled=False)
         await trio.sleep(2)
-        fleet.cut_zone("waco-a")
-        [node] = fleet.others("waco-a")
+        fleet.partition_zone("waco-a")
+        [node] = fleet.non_owners("waco-a")
         assert isinstance(await node.take(100, max_wait_s=1), Charge)
         start_s = trio.current_time()
         refusal = await node.take(60, max_wait_s=2)
@@ -179,19 +182,19 @@
         assert waited_s == pytest.approx(refusal.retry_after_s, abs=0.25)
 
     async def test_slots_of_a_new_owner(self, autojump_clock, nursery):
-        """The same with concurrent requests: each entry has one slot of its own.
+        """All nodes start, and each entry has one slot before an owner may grant.
 
-        The second request waits for the owner, which has slots to spare.
+        The second request waits for the owner, which has free slots.
         """
         fleet = LimitFleet(Limit(RATE, 40), ZONES)
         await fleet.run(nursery, settled=False)
         await trio.sleep(2)
-        [node] = fleet.others("waco-a")
+        [node] = fleet.non_owners("waco-a")
         for _ in range(2):
             assert isinstance(await node.take(30, max_wait_s=5), Charge)
 
     async def test_bound_holds_with_waiters(self, autojump_clock, fleet):
-        """Large and small requests wait everywhere, at twice the limit."""
+        """Requests wait at all entries, at twice the limit."""
         nodes = list(fleet.nodes.values())
         admitted = await flood(nodes, MINUTE_S, 50, 0.25, max_wait_s=5)
         seconds = MINUTE_S + 5
@@ -202,63 +205,66 @@
     @pytest.mark.parametrize(
         ("kind", "share"), [("BudgetTransfer", 0.5), ("BudgetAsk", 0.1)]
     )
-    async def test_lost_answer_mints_nothing(self, autojump_clock, fleet, kind, share):
-        """Many answers between owners, or to entries, are lost.
+    async def test_lost_response_creates_no_budget(
+        self, autojump_clock, fleet, kind, share
+    ):
+        """Many responses between owners, or to entries, are lost.
 
-        The donor has taken out what the receiver never gets: the customer gets less
-        than its limit, and never more.
+        The donor has withdrawn budget that the receiver never gets, so the customer
+        gets less than its limit, but never more.
         """
         rng = random.Random(1)
         lost = 0
 
-        def lose(source, target, value):
+        def loses_response(source, target, value):
             nonlocal lost
             is_lost = type(value).__name__ == kind and rng.random() < share
             lost += is_lost
             return is_lost
 
-        fleet.lose = lose
-        admitted = await flood(fleet.others("waco-a"), MINUTE_S, 10, 0.05)
+        fleet.loses_response = loses_response
+        admitted = await flood(fleet.non_owners("waco-a"), MINUTE_S, 10, 0.05)
         assert 0.2 * RATE <= admitted <= 1.02 * RATE
         assert lost > 20
 
-    async def test_lost_loan_comes_back(self, autojump_clock, nursery):
-        """The answers that lend slots are lost for a while.
+    async def test_lost_loan_expires(self, autojump_clock, nursery):
+        """The responses that lend slots are lost for some time.
 
-        The lender counts the slots as lent, and nobody holds them. They are there
-        again a few seconds later.
+        The donor counts the slots as lent although no node holds them. They are
+        available again a few seconds later, when the loans expire.
         """
         fleet = LimitFleet(concurrent(6), ZONES)
         await fleet.run(nursery)
-        fleet.lose = lambda *call: type(call[2]).__name__ == "BudgetTransfer"
-        assert await hold(fleet.others("waco-a"), 5, 0.05, 2.0) == 2
-        fleet.lose = lambda *call: False
+        fleet.loses_response = lambda *call: type(call[2]).__name__ == "BudgetTransfer"
+        assert await hold_slots(fleet.non_owners("waco-a"), 5, 0.05, 2.0) == 2
+        fleet.loses_response = lambda *call: False
         await trio.sleep(5)
-        assert await hold(fleet.others("waco-a"), 5, 0.05, 2.0) == 6
+        assert await hold_slots(fleet.non_owners("waco-a"), 5, 0.05, 2.0) == 6
 
 
 class TestOwners:
-    async def test_two_owners_at_once(self, autojump_clock, fleet):
-        """The nodes of each zone lose each other, and each half has an owner.
+    async def test_two_simultaneous_owners(self, autojump_clock, fleet):
+        """The nodes of each zone cannot see each other, so each side has an owner.
 
-        The former owner goes on, and the other node takes over what it believes to
-        be a dead node's duty. Both together grant no more than the zone's share.
+        The former owner continues, and the other node becomes an owner because it
+        considers the former one failed. Both together must not grant more than the
+        zone's share.
         """
         for node in fleet.nodes.values():
-            node.sees = {node.node.name}
+            node.visible_nodes = {node.node.name}
         admitted = await flood(list(fleet.nodes.values()), MINUTE_S, 10, 0.02)
         assert 0.8 * RATE <= admitted <= 1.1 * RATE
 
-    async def test_only_one_half_notices(self, autojump_clock, fleet):
-        """One node of each zone suspects the owner, which notices nothing.
+    async def test_only_one_side_suspects_the_owner(self, autojump_clock, fleet):
+        """One node of each zone suspects the owner, which does not notice.
 
-        The new owner starts empty, and with the part of the zone that it sees; the
-        old one goes on as before for as long as nobody contradicts it.
+        The new owner starts with an empty bucket and only the share of the nodes that
+        it sees, while the old owner continues with the whole share of the zone.
         """
         start_s = trio.current_time()
         for zone in ZONES:
-            [other] = fleet.others(zone)
-            other.sees = {other.node.name}
+            [other] = fleet.non_owners(zone)
+            other.visible_nodes = {other.node.name}
         nodes = list(fleet.nodes.values())
         admitted = await flood(nodes, 4.0, 10, 0.02)
         elapsed_s = trio.current_time() - start_s
@@ -266,88 +272,87 @@
         assert admitted <= 1.1 * RATE / 60 * elapsed_s + burst
 
     async def test_paused_owner(self, autojump_clock, fleet):
-        """The owner is paused for ten seconds and wakes up.
+        """The owner is paused for ten seconds and resumes.
 
-        While it was paused another node has taken over. The paused one finds a
-        full bucket at its waking, and its zone has had another owner all the time:
-        it waits like a new owner, and grants none of it.
+        Another node became the owner meanwhile. When the paused owner resumes, its
+        bucket is full, but it must wait like a new owner before it grants any of it.
         """
         owner = fleet.owner("waco-a")
-        [other] = fleet.others("waco-a")
-        fleet.cut_zone("waco-a")
+        [other] = fleet.non_owners("waco-a")
+        fleet.partition_zone("waco-a")
         await flood([owner, other], 5, 10, 0.02)
         owner.is_frozen = True
-        other.sees = set(fleet.nodes) - {owner.node.name}
+        other.visible_nodes = set(fleet.nodes) - {owner.node.name}
         await trio.sleep(10)
         owner.is_frozen = False
-        other.sees = set(fleet.nodes)
+        other.visible_nodes = set(fleet.nodes)
         admitted = await flood([owner, other], 2, 10, 0.005)
         assert admitted <= 0.1 * RATE / 3 / 60 * 2 + RATE / 3 / 60
 
-    async def test_instance_lost(self, autojump_clock, fleet):
+    async def test_terminated_owner_is_replaced(self, autojump_clock, fleet):
         """The owner's instance is terminated, and the platform confirms it.
 
-        The node that is left takes the whole zone over, after the wait of a new
-        owner.
+        The remaining node grants the whole share of the zone after it has settled as
+        the new owner.
         """
         owner = fleet.owner("waco-a")
-        [other] = fleet.others("waco-a")
+        [other] = fleet.non_owners("waco-a")
         fleet.terminated.add(owner.node.name)
         for node in fleet.nodes.values():
-            node.sees -= {owner.node.name}
+            node.visible_nodes -= {owner.node.name}
         await trio.sleep(6)
         admitted = await flood([other], MINUTE_S, 10, 0.05)
         assert 0.95 * RATE <= admitted <= 1.02 * RATE
 
     async def test_owner_is_unreachable(self, autojump_clock, fleet):
-        """The agent is gone, or its owner does not answer.
+        """The owner does not respond, or the agent of the entry has stopped.
 
-        The entry admits by a small fixed share, and refuses the rest at once, with
-        one wait for an answer at most.
+        The entry admits requests up to a small fixed share and refuses the others
+        immediately, after at most one timeout.
         """
         fleet.owner("waco-a").is_frozen = True
-        [node] = fleet.others("waco-a")
+        [node] = fleet.non_owners("waco-a")
         started_s = trio.current_time()
         await node.take(10)
         assert trio.current_time() - started_s < 0.3
         admitted = await flood([node], MINUTE_S, 1, 0.05)
         assert 0 < admitted <= 0.02 * RATE
-        node.agent_is_gone = True
+        node.is_agent_stopped = True
         admitted = await flood([node], MINUTE_S, 1, 0.05)
         assert 0 < admitted <= 0.02 * RATE
 
 
 class TestPartition:
-    async def test_zone_is_cut_off(self, autojump_clock, fleet):
-        """One zone is cut off while the customer sends everywhere, then heals.
+    async def test_zone_partition(self, autojump_clock, fleet):
+        """One zone is partitioned under load in all zones, and then reconnected.
 
-        Each side goes on with the shares that it has; nobody takes over the other
-        side's.
+        Each side continues with the shares of its own zones and must not use those of
+        the other side.
         """
         nodes = list(fleet.nodes.values())
-        fleet.cut_zone("temple-c")
+        fleet.partition_zone("temple-c")
         admitted = await flood(nodes, MINUTE_S, 10, 0.02)
         assert 0.9 * RATE <= admitted <= 1.05 * RATE
-        fleet.cuts.clear()
+        fleet.partitions.clear()
         admitted = await flood(nodes, MINUTE_S, 10, 0.02)
         assert admitted <= 1.02 * RATE
 
 
-class TestEntryDies:
-    async def test_slots_come_back(self, autojump_clock, nursery):
-        """An entry dies while its requests hold all slots of its zone.
+class TestFailedEntry:
+    async def test_slots_are_freed_after_expiry(self, autojump_clock, nursery):
+        """An entry fails while its requests hold all slots of its zone.
 
-        Nobody gives the slots back. They are granted anew once its lease is over,
-        and not before: the requests may still run.
+        The slots are not released explicitly. They are granted again after they
+        expire, and not earlier, because the requests may still be running.
         """
         fleet = LimitFleet(concurrent(4), ["waco-a"])
         await fleet.run(nursery)
-        [node] = fleet.others("waco-a")
+        [node] = fleet.non_owners("waco-a")
         for _ in range(4):
             assert isinstance(await node.take(0), Charge)
-        node.agent_is_gone = True
+        node.is_agent_stopped = True
         owner = fleet.owner("waco-a")
-        await trio.sleep(USED_SLOT_S - 1)
+        await trio.sleep(USED_SLOT_TTL_S - 1)
         assert isinstance(await owner.take(0), NotRun)
         await trio.sleep(1.5)
         assert isinstance(await owner.take(0), Charge)
--- a/tests/process/test_limits_system.py
+++ b/tests/process/test_limits_system.py
@@ -1,4 +1,4 @@
-"""Limits of whole systems: entries, agents and stand-ins in virtual time."""
+"""Tests of limits in whole systems with simulated servers, in virtual time."""
 
 from contextlib import asynccontextmanager
 
@@ -15,7 +15,7 @@
 
 @asynccontextmanager
 async def system_with(nursery, limits):
-    """Yield a settled system, and a function that sends a request to each entry."""
+    """Yield a settled system, and a function that sends a request to an entry."""
     api_key, keys = new_key("estimator-1")
     document = {
         "services": {
@@ -33,7 +33,7 @@
     await trio.sleep(SETTLED_S)
     async with http_client(system.callers, None) as client:
 
-        async def ask(zone, max_tokens):
+        async def send_request(zone, max_tokens):
             return await client.post(
                 f"http://{system.nodes[f'{zone}-1'].settings.listen.callers}"
                 "/v1/chat/completions",
@@ -46,48 +46,49 @@
                 timeout=60,
             )
 
-        yield system, ask
+        yield system, send_request
     system.dispose()
 
 
 class TestLimitsOfASystem:
     async def test_concurrent_requests(self, nursery, autojump_clock):
-        """A customer with three requests at once sends six through each zone.
+        """A customer limited to three concurrent requests sends six to each zone.
 
-        Three run, wherever they came in; the others are refused at once, with when
-        to come back. When the three are done, three more run, all through one zone.
+        Three requests run, independent of their zone, and the others are refused
+        immediately with a retry time. After that, the six requests sent to a single
+        zone also get three slots.
         """
         limits = {MODEL: {"concurrent_requests": 3}}
-        answers = []
-        async with system_with(nursery, limits) as (_, ask):
+        responses = []
+        async with system_with(nursery, limits) as (_, send_request):
 
             async def send(zone):
                 started_s = trio.current_time()
-                answer = await ask(zone, 2000)
-                answers.append((answer, trio.current_time() - started_s))
+                response = await send_request(zone, 2000)
+                responses.append((response, trio.current_time() - started_s))
 
             for zones in (ZONES * 6, ZONES[:1] * 6):
-                answers.clear()
+                responses.clear()
                 async with trio.open_nursery() as senders:
                     for zone in zones:
                         senders.start_soon(send, zone)
                         await trio.sleep(0.01)
-                refused = [pair for pair in answers if pair[0].status_code == 429]
-                assert len(answers) - len(refused) == 3
+                refused = [pair for pair in responses if pair[0].status_code == 429]
+                assert len(responses) - len(refused) == 3
                 assert all(took_s < 0.3 for _, took_s in refused)
-                bodies = [answer.json() for answer, _ in refused]
+                bodies = [response.json() for response, _ in refused]
                 assert {body["reason"] for body in bodies} == {"limit_reached"}
-                assert all("Retry-After" in answer.headers for answer, _ in refused)
+                assert all("Retry-After" in response.headers for response, _ in refused)
                 await trio.sleep(5)
 
     async def test_tokens_through_one_zone(self, nursery, autojump_clock):
-        """All requests come through one zone, while another one is cut off.
+        """All requests arrive in one zone, while another zone is partitioned.
 
-        The customer gets the shares of the two zones that reach each other, and is
-        refused beyond them, with no more calls of the platform than without traffic.
+        The customer gets the shares of the two connected zones and is refused beyond
+        them. The requests cause no additional calls of the platform.
         """
         limits = {MODEL: {"tokens_per_minute": 6000}}
-        async with system_with(nursery, limits) as (system, ask):
+        async with system_with(nursery, limits) as (system, send_request):
             system.cut_zone(ZONES[2], platform_too=False)
             await trio.sleep(5)
             before = system.platform.calls.total()
@@ -97,16 +98,17 @@
 
             async def send():
                 nonlocal used
-                answer = await ask(ZONES[0], 20)
-                if answer.status_code == 200:
-                    used += answer.json()["usage"]["total_tokens"]
+                response = await send_request(ZONES[0], 20)
+                if response.status_code == 200:
+                    used += response.json()["usage"]["total_tokens"]
 
             async with trio.open_nursery() as senders:
                 for _ in range(300):
                     senders.start_soon(send)
                     await trio.sleep(0.1)
-                # Of as many seconds as the idle count: the last requests wait for
-                # budget after it, and the agents' own calls go on meanwhile.
+                # Count the calls of as many seconds as in the idle measurement: the
+                # last requests still wait for budget afterwards, while the agents
+                # continue to make calls of their own.
                 made = system.platform.calls.total() - before - idle
             allowed = 6000 * 2 / 3 / 2
             assert 0.8 * allowed <= used <= 1.05 * allowed + 100
--- a/tests/process/test_orders.py
+++ b/tests/process/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders: holders that are paused between their look and their send."""
+"""Tests of orders sent by lease holders that are paused after the lease check."""
 
 import pytest
 import trio
@@ -8,8 +8,8 @@
 from rosemaryknot.process.orders import (
     NEEDS_FENCING,
     NOT_HOLDER,
-    SERVES,
-    UNWRITTEN,
+    NOT_RECORDED,
+    OWN_MODEL,
     OrderSender,
 )
 from rosemaryknot.process.placement.service import PlacementDuty
@@ -36,15 +36,15 @@
 
 
 class PausePoint:
-    """Stops a process between its look at the lease and its send."""
+    """Freezes a process between its check of the lease and its call."""
 
     def __init__(self, host):
         self.host = host
-        self.armed_for = ""
+        self.armed_call = ""
 
     async def wait(self, call):
-        if self.armed_for == call:
-            self.armed_for = ""
+        if self.armed_call == call:
+            self.armed_call = ""
             self.host.freeze()
         await trio.sleep(0)
 
@@ -77,7 +77,7 @@
 
 
 class Holders:
-    """Two processes with the placement duty, and engines that record each order."""
+    """Two processes with the placement duty, and engines that record their orders."""
 
     def __init__(self, region, nursery, checks_fencing, count):
         self.region = region
@@ -89,13 +89,13 @@
         )
         zone = ZoneTarget(ZONE, count, ("g1",), 1.0)
         self.target = ServiceTarget(MODEL, True, checks_fencing, 20.0, (zone,))
-        self.points = [PausePoint(host) for host in region.hosts]
+        self.pause_points = [PausePoint(host) for host in region.hosts]
         self.duties = [self.duty(index) for index in range(len(region.hosts))]
 
     def duty(self, index):
-        """Put one process's duty together, as `PlacementKeeper` does."""
+        """Create the placement duty of one process, as `PlacementManager` does."""
         lease = self.region.leases[index]
-        point = self.points[index]
+        point = self.pause_points[index]
         client = PausingClient(self.region.hosts[index].network, point)
         cloud = PausingCloud(self.region.clients[index], point)
         sender = OrderSender(lease, cloud, client, lease.safeguards)
@@ -104,38 +104,38 @@
 
     async def start(self, engines):
         """Start engines and both processes."""
-        self.cloud.launcher = self.launch
+        self.cloud.launcher = self.start_engine
         self.cloud.prices[ZONE, "g1", True] = 1.0
         for number in range(engines):
             server = BackendServer(f"e{number}", MODEL, ZONE, "g1", True, "")
-            server.address = await self.launch(server)
+            server.address = await self.start_engine(server)
             self.cloud.add(server)
         self.region.start(self.nursery)
         for index, duty in enumerate(self.duties):
             self.region.spawn(index, duty.run)
-            self.region.spawn(index, self.poll, duty)
+            self.region.spawn(index, self.poll_instances, duty)
 
-    async def poll(self, duty):
-        """Keep a table up to date, as `PlatformWatch` does."""
+    async def poll_instances(self, duty):
+        """Update the server table periodically, as `PlatformWatch` does."""
         while True:
             listed = await duty.cloud.instances()
             if isinstance(listed, list):
                 duty.servers.apply_list(listed)
             await trio.sleep(2.0)
 
-    async def launch(self, server):
+    async def start_engine(self, server):
         engine = EngineStandIn(self.settings)
         address = Address(f"10.0.1.{1 + len(self.engines)}", 9000)
         self.engines[server.instance] = engine
         network = self.region.network.with_host(address.host)
         host = Host(network)
-        self.region.hosts_of_engines.append(host)
+        self.region.engine_hosts.append(host)
         self.nursery.start_soon(host.run, engine.serve, network, address)
         await trio.sleep(0.01)
         return str(address)
 
-    async def settled(self, other_than=-1):
-        """Wait for a holder who has read back; return its index."""
+    async def wait_for_settled(self, other_than=-1):
+        """Wait for a holder that has settled and return its index."""
         while True:
             for index, duty in enumerate(self.duties):
                 if index != other_than and duty.lease.is_held():
@@ -143,41 +143,41 @@
                         return index
             await trio.sleep(0.1)
 
-    async def paused_order(self, index, call, order, *args):
-        """Pause a holder between look and send of an order, until another holds."""
+    async def send_paused_order(self, index, call, order, *args):
+        """Pause a holder before it sends an order, until another holder has settled."""
         region = self.region
-        self.points[index].armed_for = call
+        self.pause_points[index].armed_call = call
         region.spawn(index, order, *args)
         await trio.sleep(PAUSE_S)
         assert region.hosts[index].is_frozen
-        return await self.settled(other_than=index)
+        return await self.wait_for_settled(other_than=index)
 
-    def live(self):
+    def live_instances(self):
         return [
             name
             for name, server in self.cloud.servers.items()
             if server.state == ServerState.LIVE
         ]
 
-    def serving(self, index):
-        """Return what a holder counts as serving."""
+    def serving_instances(self, index):
+        """Return the instances that a holder counts as serving."""
         duty = self.duties[index]
         servers = duty.servers_of(MODEL)
-        given = duty.given(self.target, servers)
-        return {i.instance for i in given.instances if i.phase == Phase.LIVE}
+        placement_input = duty.placement_input(self.target, servers)
+        return {i.instance for i in placement_input.instances if i.phase == Phase.LIVE}
 
 
-def run_holders(story, checks_fencing=True, count=2, engines=2, **safeguards):
-    """Run an async function of two holders in virtual time; return its result."""
+def run_holders(scenario, checks_fencing=True, count=2, engines=2, **safeguards):
+    """Run an async function with two holders in virtual time; return its result."""
 
     async def main(region, nursery):
-        region.hosts_of_engines = []
+        region.engine_hosts = []
         holders = Holders(region, nursery, checks_fencing, count)
         await holders.start(engines)
         try:
-            return await story(holders)
+            return await scenario(holders)
         finally:
-            for host in region.hosts_of_engines:
+            for host in region.engine_hosts:
                 host.dispose()
             for duty in holders.duties:
                 await duty.removal.client.aclose()
@@ -186,32 +186,32 @@
 
 
 class TestPausedHolder:
-    def test_server_that_checks_refuses(self):
-        """A holder looks at its lease, is paused for a minute, and sends its order.
+    def test_server_with_fencing_refuses_late_order(self):
+        """A holder checks its lease, is paused for a minute, and sends its order.
 
-        The next holder has shown its number to each engine meanwhile, so the late
-        order is refused. An engine that nobody showed the new number obeys it.
+        Meanwhile the next holder has sent its fencing token to each engine, so the
+        late order is refused. An engine without the new token executes it.
         """
 
-        async def story(holders):
-            first = await holders.settled()
-            stranger = BackendServer("e9", "other", ZONE, "g1", True, "")
-            stranger.address = await holders.launch(stranger)
+        async def scenario(holders):
+            first = await holders.wait_for_settled()
+            unfenced = BackendServer("e9", "other", ZONE, "g1", True, "")
+            unfenced.address = await holders.start_engine(unfenced)
             duty = holders.duties[first]
             order = ServerOrder("load_model", {"model": "old"})
             outcomes = []
 
             async def send_late():
-                for server in (duty.servers.get("e0"), stranger):
+                for server in (duty.servers.get("e0"), unfenced):
                     outcome = await duty.removal.client.order(server, order, 1)
                     outcomes.append(outcome)
 
-            await holders.paused_order(first, "order", send_late)
+            await holders.send_paused_order(first, "order", send_late)
             holders.region.hosts[first].thaw()
             await trio.sleep(5.0)
             return holders, outcomes
 
-        holders, outcomes = run_holders(story)
+        holders, outcomes = run_holders(scenario)
         assert [type(outcome) for outcome in outcomes] == [OrderRefused, OrderDone]
         assert outcomes[0].fencing == 2
         for name in ("e0", "e1"):
@@ -220,19 +220,19 @@
             assert numbers == sorted(numbers) and set(numbers) == {1, 2}
             assert orders.models == {MODEL}
 
-    def test_server_that_does_not_check_is_repaired(self):
-        """The same with an engine that checks nothing: it carries the order out.
+    def test_late_order_without_fencing_is_repaired(self):
+        """An engine that does not check fencing tokens executes a late order.
 
-        The next holder finds it at its next read-back and takes it back, and the
-        service's own model stays loaded all the time.
+        The next holder detects and reverts it at its next read, while the service's
+        own model stays loaded.
         """
 
-        async def story(holders):
-            first = await holders.settled()
+        async def scenario(holders):
+            first = await holders.wait_for_settled()
             duty = holders.duties[first]
             server = duty.servers.get("e0")
             order = ServerOrder("load_model", {"model": "old"})
-            await holders.paused_order(
+            await holders.send_paused_order(
                 first, "order", duty.sender.order, holders.target, server, order
             )
             orders = holders.engines["e0"].orders
@@ -246,106 +246,106 @@
                 await trio.sleep(0.1)
             return trio.current_time() - begin_s
 
-        assert run_holders(story, checks_fencing=False) <= REPAIR_BOUND_S
+        assert run_holders(scenario, checks_fencing=False) <= REPAIR_BOUND_S
 
     @pytest.mark.parametrize("additive_first", [True, False])
-    def test_late_release_takes_nothing_that_serves(self, additive_first):
-        """A holder is paused just before it gives an instance back.
+    def test_late_release_removes_no_serving_instance(self, additive_first):
+        """A holder is paused just before it releases an instance.
 
-        The next holder counts on that instance if it cannot know of the decision;
-        then the order arrives and takes away what serves.
+        If the decision is not recorded, the next holder counts the instance as
+        serving, and the late order then removes it.
         """
 
-        async def story(holders):
-            first = await holders.settled()
+        async def scenario(holders):
+            first = await holders.wait_for_settled()
             duty = holders.duties[first]
             if additive_first:
                 refused = await duty.sender.release(holders.target, "e0")
-                assert refused == OrderRefused(UNWRITTEN)
+                assert refused == OrderRefused(NOT_RECORDED)
                 assert await duty.lease.note_leaving(["e0"])
-            second = await holders.paused_order(
+            second = await holders.send_paused_order(
                 first, "release", duty.sender.release, holders.target, "e0"
             )
-            counted = holders.serving(second)
+            counted = holders.serving_instances(second)
             holders.region.hosts[first].thaw()
             await trio.sleep(2.0)
-            return counted - set(holders.live())
+            return counted - set(holders.live_instances())
 
-        taken = run_holders(story, additive_first=additive_first)
-        assert taken == (set() if additive_first else {"e0"})
+        removed = run_holders(scenario, additive_first=additive_first)
+        assert removed == (set() if additive_first else {"e0"})
 
     @pytest.mark.parametrize("checks_fencing", [True, False])
     def test_late_start_is_repaired(self, checks_fencing):
         """A holder is paused just before it starts the second instance.
 
-        The next holder starts it. Then the first one's order arrives, and there are
-        three. The next holder drains and releases one; two serve throughout.
+        The next holder starts it, and the late order of the first one adds a third.
+        The next holder drains and releases one, while two serve throughout.
         """
 
-        async def story(holders):
-            for point in holders.points:
-                point.armed_for = "start"
+        async def scenario(holders):
+            for point in holders.pause_points:
+                point.armed_call = "start"
             frozen = []
             while not frozen:
                 await trio.sleep(0.1)
                 hosts = holders.region.hosts
                 frozen = [i for i, host in enumerate(hosts) if host.is_frozen]
-            for point in holders.points:
-                point.armed_for = ""
-            second = await holders.settled(other_than=frozen[0])
-            assert len(holders.live()) == 2
+            for point in holders.pause_points:
+                point.armed_call = ""
+            second = await holders.wait_for_settled(other_than=frozen[0])
+            assert len(holders.live_instances()) == 2
             holders.region.hosts[frozen[0]].thaw()
-            while len(holders.live()) < 3:
+            while len(holders.live_instances()) < 3:
                 await trio.sleep(0.1)
             begin_s = trio.current_time()
-            while len(holders.live()) > 2:
+            while len(holders.live_instances()) > 2:
                 leaving = holders.duties[second].lease.leaving
-                assert len(set(holders.live()) - set(leaving)) >= 2
+                assert len(set(holders.live_instances()) - set(leaving)) >= 2
                 await trio.sleep(0.1)
             took_s = trio.current_time() - begin_s
             await trio.sleep(60.0)
-            return took_s, len(holders.live()), holders.region.most_holders
+            return took_s, len(holders.live_instances()), holders.region.most_holders
 
-        took_s, live, most = run_holders(
-            story, checks_fencing=checks_fencing, engines=1
+        took_s, live_instances, max_holders = run_holders(
+            scenario, checks_fencing=checks_fencing, engines=1
         )
-        assert took_s <= SURPLUS_BOUND_S and live == 2 and most == 1
+        assert took_s <= SURPLUS_BOUND_S and live_instances == 2 and max_holders == 1
 
 
 class TestSender:
-    def test_new_holder_waits_for_servers_that_check_nothing(self):
-        """The holder vanishes and an instance with it.
+    def test_new_holder_waits_without_fencing(self):
+        """The holder and an instance fail at the same time.
 
-        Where nothing checks its number, the next one waits once more for orders
-        that its predecessor may still send; where they are checked it acts at once.
+        If the servers do not check fencing tokens, the next holder waits for late
+        orders of its predecessor. Otherwise it starts a replacement immediately.
         """
 
-        async def story(holders):
-            first = await holders.settled()
+        async def scenario(holders):
+            first = await holders.wait_for_settled()
             holders.region.hosts[first].freeze()
             holders.cloud.terminate("e0")
             begin_s = trio.current_time()
             while not [d for d in holders.duties if d.lease.fencing == 2]:
                 await trio.sleep(0.1)
-            taken_s = trio.current_time()
-            while len(holders.live()) < 2:
+            takeover_s = trio.current_time()
+            while len(holders.live_instances()) < 2:
                 await trio.sleep(0.1)
-            return taken_s - begin_s, trio.current_time() - taken_s
+            return takeover_s - begin_s, trio.current_time() - takeover_s
 
-        for checks_fencing, least_s, most_s in ((True, 0.0, 4.0), (False, 4.9, 7.0)):
-            taken_s, started_s = run_holders(story, checks_fencing=checks_fencing)
-            assert taken_s <= TAKE_OVER_S
-            assert least_s <= started_s <= most_s
+        for checks_fencing, min_s, max_s in ((True, 0.0, 4.0), (False, 4.9, 7.0)):
+            takeover_s, started_s = run_holders(scenario, checks_fencing=checks_fencing)
+            assert takeover_s <= TAKE_OVER_S
+            assert min_s <= started_s <= max_s
 
     def test_outage_while_holding(self):
-        """The store goes out, the lease lapses, then an instance ends.
+        """The store becomes unreachable, the lease expires, an instance terminates.
 
-        The holder sends no order any more, whether or not the cloud API would take
-        it. After the outage the instance is replaced.
+        The holder must not send orders any more, even if the cloud API would accept
+        them. After the outage the instance is replaced.
         """
 
-        async def story(holders):
-            first = await holders.settled()
+        async def scenario(holders):
+            first = await holders.wait_for_settled()
             duty = holders.duties[first]
             held_s = duty.lease.left_s()
             holders.region.platform.faults.outage = "refuse"
@@ -359,22 +359,22 @@
             ]
             holders.cloud.terminate("e0")
             await trio.sleep(60.0)
-            live = holders.live()
+            live_instances = holders.live_instances()
             holders.region.platform.faults.outage = ""
-            await holders.settled()
+            await holders.wait_for_settled()
             await trio.sleep(20.0)
-            return outcomes, live, holders.live()
+            return outcomes, live_instances, holders.live_instances()
 
-        outcomes, in_outage, after = run_holders(story)
+        outcomes, in_outage, after = run_holders(scenario)
         assert outcomes == 3 * [OrderRefused(NOT_HOLDER)]
         assert in_outage == ["e1"]
         assert len(after) == 2
 
-    def test_orders_that_could_harm_are_refused(self):
-        """Orders that could harm when they come late never go to such servers."""
+    def test_harmful_orders_are_refused(self):
+        """Orders that are harmful when late are never sent to such servers."""
 
-        async def story(holders):
-            duty = holders.duties[await holders.settled()]
+        async def scenario(holders):
+            duty = holders.duties[await holders.wait_for_settled()]
             server = duty.servers.get("e0")
             return [
                 await duty.sender.order(holders.target, server, order)
@@ -385,5 +385,5 @@
                 )
             ]
 
-        refused = [OrderRefused(r) for r in (SERVES, NEEDS_FENCING, UNWRITTEN)]
-        assert run_holders(story, checks_fencing=False) == refused
+        refused = [OrderRefused(r) for r in (OWN_MODEL, NEEDS_FENCING, NOT_RECORDED)]
+        assert run_holders(scenario, checks_fencing=False) == refused
--- a/tests/request/test_gateway_placement.py
+++ b/tests/request/test_gateway_placement.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a server from a picture that many gateways share."""
+"""Tests of placement policies for load data that many gateways share."""
 
 import random
 from collections import Counter
@@ -9,8 +9,8 @@
 
 from rosemaryknot.process.server_state import ServerState
 from rosemaryknot.request.gateway_placement import (
-    DRAWN,
     POLICIES,
+    SAMPLE_SIZE,
     Candidate,
     PlacementInput,
 )
@@ -23,7 +23,7 @@
 SIZE = ModelInput(3000, 100, (PromptPart("own", 3000),))
 SERVERS = 32
 GATEWAYS = 91
-WAYS = [("unread_tokens_of_drawn", SIZE), ("least_busy_of_drawn", None)]
+SAMPLING_POLICIES = [("unread_tokens_of_drawn", SIZE), ("least_busy_of_drawn", None)]
 
 
 def candidate(number, requests=0, tokens=0):
@@ -37,30 +37,33 @@
     return POLICIES[policy](given)
 
 
-@pytest.mark.parametrize(("policy", "size"), WAYS)
-class TestDrawn:
-    def test_same_picture_gives_other_choices(self, policy, size):
-        """Ninety-one gateways see one idle server among 32 at the same moment."""
-        picture = [candidate(0), *[candidate(n, 3, 9000) for n in range(1, SERVERS)]]
+@pytest.mark.parametrize(("policy", "size"), SAMPLING_POLICIES)
+class TestSamplingPolicies:
+    def test_same_load_data_gives_different_choices(self, policy, size):
+        """Ninety-one gateways see one idle server among 32 at the same time.
+
+        Without sampling, all of them would send their next request to that server.
+        """
+        servers = [candidate(0), *[candidate(n, 3, 9000) for n in range(1, SERVERS)]]
         chosen = Counter(
-            choose(policy, size, picture, seed).state.entry.id
+            choose(policy, size, servers, seed).state.entry.id
             for seed in range(GATEWAYS)
         )
         assert max(chosen.values()) < GATEWAYS / 4
 
-    def test_the_worst_gets_nothing(self, policy, size):
-        picture = [candidate(n, n, 3000 * n) for n in range(SERVERS)]
+    def test_busiest_server_is_not_chosen(self, policy, size):
+        servers = [candidate(n, n, 3000 * n) for n in range(SERVERS)]
         chosen = {
-            choose(policy, size, picture, seed).state.entry.id for seed in range(1000)
+            choose(policy, size, servers, seed).state.entry.id for seed in range(1000)
         }
         assert f"s{SERVERS - 1}" not in chosen
         assert len(chosen) > SERVERS / 2
 
-    @pytest.mark.parametrize("count", [0, 1, DRAWN])
+    @pytest.mark.parametrize("count", [0, 1, SAMPLE_SIZE])
     def test_few_servers_are_all_compared(self, policy, size, count):
-        picture = [candidate(n, n, 3000 * n) for n in range(count)]
-        found = choose(policy, size, picture)
-        assert found is (picture[0] if picture else None)
+        servers = [candidate(n, n, 3000 * n) for n in range(count)]
+        chosen = choose(policy, size, servers)
+        assert chosen is (servers[0] if servers else None)
 
 
 def mean_of(name, plays):
@@ -68,7 +71,7 @@
 
 
 class TestLongPrompts:
-    """Long prompts come in clumps to servers that run answers, six at a time."""
+    """Bursts of six long prompts at servers that are running other responses."""
 
     load = Load(strength=1.4, until_s=28.0)
     seeds = (1, 2, 3)
@@ -85,15 +88,15 @@
         ]
         return [play.figures() for play in plays]
 
-    def test_answers_beside_long_prompts_pause(self):
-        """Answers paused too long while their servers read other callers' prompts."""
+    def test_long_prompts_delay_fewer_events(self):
+        """Prefill of long prompts made the gaps between events too long."""
         before = self.figures("unread_tokens_alone", 7)
         after = self.figures("unread_tokens", 7)
         assert mean_of("paused", after) < mean_of("paused", before) / 2
         assert mean_of("earned_share", after) > mean_of("earned_share", before)
 
 
-def chosen_among(count, prompt_tokens, long_share, **options):
+def servers_chosen(count, prompt_tokens, long_share, **options):
     candidates = [candidate(n, **options) for n in range(count)]
     size = ModelInput(prompt_tokens, 100, (PromptPart("own", prompt_tokens),))
     return {
@@ -107,36 +110,36 @@
 
 
 class TestServersForLongPrompts:
-    def test_kinds_go_apart(self):
-        long = chosen_among(9, 20_000, 1 / 6)
-        short = chosen_among(9, 1_000, 1 / 6)
+    def test_long_and_short_prompts_are_separated(self):
+        long = servers_chosen(9, 20_000, 1 / 6)
+        short = servers_chosen(9, 1_000, 1 / 6)
         assert len(long) == 3
         assert len(short) == 6
         assert not long & short
 
     @pytest.mark.parametrize(("long_share", "count"), [(0.0, 1), (1.0, 3)])
-    def test_each_kind_has_some(self, long_share, count):
-        long = chosen_among(5, 20_000, long_share)
-        short = chosen_among(5, 1_000, long_share)
+    def test_each_group_has_a_server(self, long_share, count):
+        long = servers_chosen(5, 20_000, long_share)
+        short = servers_chosen(5, 1_000, long_share)
         assert len(long) == count
         assert not long & short
 
     @pytest.mark.parametrize("count", [1, 2])
-    def test_few_servers_take_both(self, count):
-        assert len(chosen_among(count, 20_000, 0.5)) == count
-        assert len(chosen_among(count, 1_000, 0.5)) == count
+    def test_few_servers_serve_both_kinds(self, count):
+        assert len(servers_chosen(count, 20_000, 0.5)) == count
+        assert len(servers_chosen(count, 1_000, 0.5)) == count
 
-    def test_pile_at_its_own_servers_goes_elsewhere(self):
-        """Short prompts would wait seconds behind others beside idle servers."""
-        short = chosen_among(5, 1_000, 0.2)
+    def test_overloaded_group_uses_other_servers(self):
+        """Short prompts would be queued for seconds while other servers are idle."""
+        short = servers_chosen(5, 1_000, 0.2)
         candidates = [
             candidate(n, tokens=90_000 if f"s{n}" in short else 0) for n in range(5)
         ]
         given = PlacementInput("a", SIZE, candidates, random.Random(1), 30_000, 0.2)
         assert POLICIES["unread_tokens"](given).state.entry.id not in short
 
-    def test_drawn_ones_are_of_its_kind(self):
-        """Few servers are compared where the picture is late, of both kinds."""
+    def test_sampled_servers_match_prompt_length(self):
+        """With delayed load data a sample of each group of servers is compared."""
         candidates = [candidate(n) for n in range(SERVERS)]
         size = ModelInput(20_000, 100, (PromptPart("own", 20_000),))
         chosen = {
@@ -145,4 +148,4 @@
             ).state.entry.id
             for seed in range(300)
         }
-        assert chosen == chosen_among(SERVERS, 20_000, 0.25)
+        assert chosen == servers_chosen(SERVERS, 20_000, 0.25)
--- a/tests/request/test_stop_admission.py
+++ b/tests/request/test_stop_admission.py
@@ -4,7 +4,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from rosemaryknot.request.gateway_entry import STOP_ADMISSION
+from rosemaryknot.request.gateway_request_admission import SHUTDOWN_ADMISSION_RULE
 from rosemaryknot.request.stop_admission import (
     STOP_ADMISSIONS,
     Likely,
@@ -14,7 +14,7 @@
 )
 from rosemaryknot.values.gateway_answers import PlannedStop
 
-decide = STOP_ADMISSIONS[STOP_ADMISSION]
+decide = STOP_ADMISSIONS[SHUTDOWN_ADMISSION_RULE]
 GRACE = PlannedStop(signalled_s=0.0, left_out_s=2.6, ends_s=7.4)
 SHORT_GRACE = PlannedStop(signalled_s=0.0, left_out_s=2.6, ends_s=1.4)
 UNKNOWN = Likely(1.0, 0, None)
@@ -50,8 +50,8 @@
         outcome = decide(given)
         if isinstance(outcome, RefusedInStop):
             return
-        assert outcome.until_s <= given.stop.ends_s
-        assert outcome.until_s <= given.limit_s
+        assert outcome.deadline_s <= given.stop.ends_s
+        assert outcome.deadline_s <= given.limit_s
         assert given.may_end_early or given.limit_s <= given.stop.ends_s
 
     @given(inputs())
@@ -65,7 +65,7 @@
     @given(given=inputs())
     def test_no_way_prolongs_a_limit(self, name, given):
         outcome = STOP_ADMISSIONS[name](given)
-        assert isinstance(outcome, RefusedInStop) or outcome.until_s <= given.limit_s
+        assert isinstance(outcome, RefusedInStop) or outcome.deadline_s <= given.limit_s
 
 
 class TestEdges:
@@ -79,5 +79,5 @@
         quick = Likely(0.02, 50, 0.5)
         outcome = decide(StopInput(6.8, GRACE, 8.8, quick, may_end_early=True))
         assert isinstance(outcome, TakenInStop)
-        assert outcome.until_s < GRACE.ends_s
+        assert outcome.deadline_s < GRACE.ends_s
         assert decide(StopInput(6.8, GRACE, 8.8, quick)) == RefusedInStop()
