--- a/benchmarks/gateway_load.py
+++ b/benchmarks/gateway_load.py
@@ -57,7 +57,7 @@
     "StoreFollower.run": "store",
     "ChangeSpread.run": "changes",
     "PageServer.run": "pages",
-    "GatewayNode.tidy": "tidying",
+    "GatewayNode.clean_up": "tidying",
     "CallerConnection.watch_caller": "requests",
 }
 
--- a/benchmarks/route_time.py
+++ b/benchmarks/route_time.py
@@ -71,7 +71,7 @@
         for _ in range(OWN_REQUESTS):
             load.began(100)
         load.report = LoadReport(number % 20, number % 3, 32, 3.0, 100_000, now_s)
-        load.prefixes.note_sent(prompts[number % BUILDERS].blocks, now_s)
+        load.prefixes.record_sent(prompts[number % BUILDERS].blocks, now_s)
     return router
 
 
--- a/benchmarks/server_lives.py
+++ b/benchmarks/server_lives.py
@@ -49,7 +49,7 @@
 def messages_of(servers: int, places: int, has_birth: bool) -> dict[str, Message]:
     """Return one message of each kind, as large as it gets."""
     entries = entries_of(servers, has_birth)
-    names = [state.told_as for state in table_of(entries).by_id.values()]
+    names = [state.incarnation_key for state in table_of(entries).by_id.values()]
     if not has_birth:
         names = list(entries)
     loads = {name: [7, 12_345] for name in names}
@@ -73,10 +73,10 @@
 def take(table: ServerTable, message: Message) -> None:
     """Take over loads and places as a gateway does."""
     for state in table.by_id.values():
-        requests, tokens = message.loads.get(state.told_as, (0, 0))
+        requests, tokens = message.loads.get(state.incarnation_key, (0, 0))
         state.peers["other"] = PeerLoad(requests, tokens, 0.0)
-    for part_id, told_as in message.places:
-        table.note_place(part_id, told_as)
+    for segment_id, incarnation_key in message.places:
+        table.record_location(segment_id, incarnation_key)
 
 
 async def main() -> None:
--- a/src/rosemaryknot/connection/gateway_server.py
+++ b/src/rosemaryknot/connection/gateway_server.py
@@ -298,7 +298,7 @@
         # Longer than any request lasts, so that none is left there.
         self.over = {k: v for k, v in self.over.items() if now_s - v < OVER_S}
 
-    async def tidy(self) -> None:
+    async def clean_up(self) -> None:
         """Close connections that were idle for too long."""
         now_s = trio.current_time()
         if self.over:
--- a/src/rosemaryknot/platform/headers.py
+++ b/src/rosemaryknot/platform/headers.py
@@ -6,7 +6,7 @@
     GatewayRequest,
     Headers,
     ModelInput,
-    PromptPart,
+    PromptSegment,
     RoutedServer,
 )
 from rosemaryknot.values.gateway_answers import AnswerHead, TargetFault
@@ -95,22 +95,22 @@
     return number if 0 <= number < float("inf") else None
 
 
-def parts_of(text: str) -> tuple[PromptPart, ...]:
+def parts_of(text: str) -> tuple[PromptSegment, ...]:
     """Return the parts of a prompt; what has another form is left out.
 
     Examples
     --------
     >>> parts_of("5c1e:800, 91bd:410")[1]
-    PromptPart(id='91bd', tokens=410)
+    PromptSegment(id='91bd', tokens=410)
     >>> parts_of("rubbish")
     ()
     """
-    parts = []
+    segments = []
     for entry in text.split(","):
         part_id, _, tokens = entry.strip().partition(":")
         if tokens.isdecimal():
-            parts.append(PromptPart(part_id, int(tokens)))
-    return tuple(parts)
+            segments.append(PromptSegment(part_id, int(tokens)))
+    return tuple(segments)
 
 
 def size_of(headers: Headers) -> ModelInput | None:
@@ -119,9 +119,9 @@
     if tokens is None:
         return None
     prompt, _, output = tokens.partition(",")
-    parts = first(headers, PROMPT_PARTS) or ""
+    segments = first(headers, PROMPT_PARTS) or ""
     return ModelInput(
-        int(number_of(prompt) or 0), int(number_of(output) or 0), parts_of(parts)
+        int(number_of(prompt) or 0), int(number_of(output) or 0), parts_of(segments)
     )
 
 
--- a/src/rosemaryknot/process/attempt_budget.py
+++ b/src/rosemaryknot/process/attempt_budget.py
@@ -1,41 +1,41 @@
-"""How many attempts beyond the first a gateway may make for each service."""
+"""Budget of retries that a gateway may make for each service."""
 
 from collections import defaultdict, deque
 from collections.abc import Callable
 
 __all__ = ["AttemptBudget"]
 
-# Part of the bound that is used; the rest is for attempts that count twice because
-# two gateways' windows do not begin at once.
+# Share of the limit that is used. The rest covers attempts that count twice because the
+# windows of two gateways do not start at the same time.
 USED_SHARE = 0.8
-# Gateways assumed before the others are known.
-LEAST_NODES = 4
-# How long a gateway that seems dead is counted on; longer than a partition may last
-# and the windows that see its end.
-COUNTED_S = 60.0
+# Minimum number of gateways that is assumed, also before the others are known.
+MIN_NODES = 4
+# How long a gateway that seems dead still counts; longer than a network partition may
+# last plus the windows that include its end.
+MAX_NODES_HOLD_S = 60.0
 
 
 class AttemptBudget:
-    """Counts requests and further attempts over a sliding window.
+    """Retry budget by service over a sliding window.
 
-    Each gateway keeps the bound for its own requests and its part of what is allowed
-    besides, so that all of them together keep it without asking each other.
+    Each gateway enforces the limit for its own requests and for its share of the slack,
+    so that all gateways together stay within it without coordination.
 
     Parameters
     ----------
     ratio : float
-        Further attempts for each request.
+        Retries allowed per request.
     window_s : float
         Length of the window, in seconds.
     slack : float
-        Attempts that all gateways together may make besides.
+        Additional retries that all gateways together may make in a window.
     nodes : callable
-        Returns how many gateways there are.
+        Returns the number of gateways.
 
     Examples
     --------
     >>> budget = AttemptBudget(0.2, 10, 10, lambda: 1)
-    >>> [budget.take("s", 0.0) for _ in range(3)]
+    >>> [budget.acquire("s", 0.0) for _ in range(3)]
     [True, True, False]
     """
 
@@ -51,40 +51,40 @@
         self.slack = slack
         self.nodes = nodes
         self.requests: dict[str, deque[float]] = defaultdict(deque)
-        self.further: dict[str, deque[float]] = defaultdict(deque)
-        self.most_nodes = LEAST_NODES
-        self.most_s = float("-inf")
+        self.retries: dict[str, deque[float]] = defaultdict(deque)
+        self.max_nodes = MIN_NODES
+        self.max_nodes_s = float("-inf")
 
     def record_request(self, service: str, now_s: float) -> None:
-        """Count a request."""
-        self.counted_nodes(now_s)
-        self.drop_old(self.requests[service], now_s)
+        """Record a request."""
+        self.assumed_nodes(now_s)
+        self.drop_expired(self.requests[service], now_s)
         self.requests[service].append(now_s)
 
-    def take(self, service: str, now_s: float) -> bool:
-        """Count a further attempt, if there may be one."""
-        requests, further = self.requests[service], self.further[service]
-        self.drop_old(requests, now_s)
-        self.drop_old(further, now_s)
-        part = self.slack / self.counted_nodes(now_s)
-        allowed = USED_SHARE * (self.ratio * len(requests) + part)
-        if len(further) + 1 > allowed:
+    def acquire(self, service: str, now_s: float) -> bool:
+        """Acquire one retry; return whether it is allowed."""
+        requests, retries = self.requests[service], self.retries[service]
+        self.drop_expired(requests, now_s)
+        self.drop_expired(retries, now_s)
+        slack_share = self.slack / self.assumed_nodes(now_s)
+        allowed = USED_SHARE * (self.ratio * len(requests) + slack_share)
+        if len(retries) + 1 > allowed:
             return False
-        further.append(now_s)
+        retries.append(now_s)
         return True
 
-    def counted_nodes(self, now_s: float) -> int:
-        """Return the most gateways of late: one that seems dead may be cut off.
+    def assumed_nodes(self, now_s: float) -> int:
+        """Return the recent maximum of the number of gateways.
 
-        It goes on spending its part where it is; dealt out anew among the others, that
-        part would be spent twice.
+        A gateway that seems dead may be partitioned and continue to use its share. If
+        that share were distributed among the others, it would be used twice.
         """
-        nodes = max(self.nodes(), LEAST_NODES)
-        if nodes >= self.most_nodes or now_s - self.most_s > COUNTED_S:
-            self.most_nodes, self.most_s = nodes, now_s
-        return self.most_nodes
+        nodes = max(self.nodes(), MIN_NODES)
+        if nodes >= self.max_nodes or now_s - self.max_nodes_s > MAX_NODES_HOLD_S:
+            self.max_nodes, self.max_nodes_s = nodes, now_s
+        return self.max_nodes
 
-    def drop_old(self, times: deque[float], now_s: float) -> None:
-        """Forget what lies before the window."""
+    def drop_expired(self, times: deque[float], now_s: float) -> None:
+        """Drop times before the window."""
         while times and times[0] < now_s - self.window_s:
             times.popleft()
--- a/src/rosemaryknot/process/change_spread.py
+++ b/src/rosemaryknot/process/change_spread.py
@@ -128,7 +128,7 @@
         names = self.watching()
         if self.node.name in names:
             return True
-        if self.exchange.hubs.is_on and self.exchange.hubs.is_hub():
+        if self.exchange.hubs.is_enabled and self.exchange.hubs.is_hub():
             return True
         return not names & self.exchange.watching(kind)
 
@@ -142,7 +142,7 @@
 
     def note_configuration(self) -> None:
         """Have the configuration told, of which only the newest version matters."""
-        told = self.configurations.news() if self.tells() else None
+        told = self.configurations.next_message() if self.tells() else None
         if told is not None:
             self.tell(told)
 
@@ -150,7 +150,7 @@
         """Tell whether others rely on this node to pass changes on."""
         if len(self.peers.nodes()) + 1 <= WATCH_ALL_NODES:
             return False
-        return self.node.name in self.watching() or self.exchange.hubs.is_on
+        return self.node.name in self.watching() or self.exchange.hubs.is_enabled
 
     def tell(self, value: Message) -> None:
         """Have a message told to the others, soon."""
@@ -162,8 +162,8 @@
     async def run(self) -> None:
         """Tell the others of changes, until cancelled."""
         async for told in self.to_tell:
-            if self.exchange.hubs.is_on:
-                await self.exchange.hubs.tell_reporters(told)
+            if self.exchange.hubs.is_enabled:
+                await self.exchange.hubs.send_to_reporters(told)
             else:
                 await self.peers.broadcast(told)
 
--- a/src/rosemaryknot/process/claims/duties.py
+++ b/src/rosemaryknot/process/claims/duties.py
@@ -196,14 +196,14 @@
 
     def wanted(self, name: str) -> dict[int, Shard]:
         """Return the shards of an absent owner that this node would take."""
-        absent_s = trio.current_time() - self.absent_since_s[name]
-        if absent_s < ABSENT_S:
+        absence_s = trio.current_time() - self.absent_since_s[name]
+        if absence_s < ABSENT_S:
             return {}
         return {
             index: shard
             for index, shard in enumerate(self.maps.map.shards)
             if shard.owner == name
-            and (absent_s >= ABSENT_ANY_S or self.is_preferred(index, shard))
+            and (absence_s >= ABSENT_ANY_S or self.is_preferred(index, shard))
         }
 
     def is_preferred(self, index: int, shard: Shard) -> bool:
--- a/src/rosemaryknot/process/exchange_parts.py
+++ b/src/rosemaryknot/process/exchange_components.py
@@ -1,4 +1,4 @@
-"""What gateways' reports to each other are made from and taken into."""
+"""Components that gateways' reports to each other are built from and applied to."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -6,80 +6,84 @@
 import trio
 
 from rosemaryknot.process.gateway_configurations import GatewayConfigurations
-from rosemaryknot.process.gateway_quota import QuotaBook
+from rosemaryknot.process.gateway_quota import QuotaTracker
 from rosemaryknot.process.gateway_state import GatewayState
 from rosemaryknot.process.peers import PeerSet
 from rosemaryknot.process.store_follower import StoreFollower
 from rosemaryknot.process.true_time import TrueTime
-from rosemaryknot.process.usage_book import UsageBook
+from rosemaryknot.process.usage_tracker import UsageTracker
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.values.store_changes import ChangeSource
 
-__all__ = ["Demand", "ExchangeParts"]
+__all__ = ["Demand", "ExchangeComponents"]
 
 
 @dataclass(slots=True)
 class Demand:
-    """Work that callers bring, by service, smoothed over some seconds.
+    """Callers' demand by service, smoothed over a few seconds.
 
     Attributes
     ----------
+    smoothing_s : float
+        Smoothing time, in seconds.
     tokens : dict of str to float
-        Prompt tokens that had to be read, in a second.
+        Prompt tokens per second that required prefill, by service.
+    updated_s : float
+        Time of the last decay.
     """
 
     smoothing_s: float = 3.0
     tokens: dict[str, float] = field(default_factory=lambda: defaultdict(float))
-    at_s: float = 0.0
+    updated_s: float = 0.0
 
-    def note(self, service: str, tokens: int) -> None:
-        """Count a request's work."""
+    def record(self, service: str, tokens: int) -> None:
+        """Record the prefill tokens of a request."""
         self.decay()
         self.tokens[service] += tokens / self.smoothing_s
 
     def decay(self) -> None:
-        """Let what was counted fade."""
+        """Decay the recorded demand to the current time."""
         now_s = trio.current_time()
-        passed_s = now_s - self.at_s
-        self.at_s = now_s
+        passed_s = now_s - self.updated_s
+        self.updated_s = now_s
         factor = max(0.0, 1 - passed_s / self.smoothing_s)
         for service in self.tokens:
             self.tokens[service] *= factor
 
 
 @dataclass(slots=True)
-class ExchangeParts:
-    """What reports are made from and taken into.
+class ExchangeComponents:
+    """Components that reports are built from and applied to.
 
     Attributes
     ----------
     node : Node
         This node.
     peers : PeerSet
-        The others.
+        The other nodes.
     state : GatewayState
         Configuration and servers.
-    quota : QuotaBook
-        Customers' limits.
-    usage : UsageBook
-        Usage by window.
+    quota : QuotaTracker
+        Usage of customers' limits.
+    usage : UsageTracker
+        Requests of each customer by usage window.
     clock : TrueTime
-        The agreed time.
+        Synchronized clock.
     followers : dict of str to StoreFollower
-        By kind; ``configuration`` and ``servers``.
+        Watchers of the store by kind of object: ``configuration`` and ``servers``.
     demand : Demand
-        What this node's callers ask for.
+        Demand of this node's callers.
     configurations : GatewayConfigurations
-        Tells and takes versions of the configuration.
+        Distributes versions of the configuration.
     store : ChangeSource
-        The store.
+        The platform's store.
     """
 
     node: Node
     peers: PeerSet
     state: GatewayState
-    quota: QuotaBook
-    usage: UsageBook
+    quota: QuotaTracker
+    usage: UsageTracker
     clock: TrueTime
     followers: dict[str, StoreFollower]
     demand: Demand
--- a/src/rosemaryknot/process/gateway_configurations.py
+++ b/src/rosemaryknot/process/gateway_configurations.py
@@ -1,9 +1,10 @@
-"""How gateways tell each other of configurations, and ask for what they miss.
+"""Distribution of configurations between gateways, and requests for missing versions.
 
 Load pattern: a large configuration changes twice a second, and few nodes watch the
-store for many. Told whole, each version would fill the link of the node that tells it;
-told as a difference to the version before, it takes some hundred bytes. A node that has
-another version, or hears that others have a newer one, asks for what it lacks.
+store on behalf of many. If each version were sent whole, it would fill the link of the
+sending node; as a difference from the previous version, it takes a few hundred bytes. A
+node that has another base version, or learns that others have a newer version, requests
+what it lacks.
 """
 
 import msgpack
@@ -14,7 +15,7 @@
     Document,
     DocumentError,
     difference,
-    rebuilt,
+    rebuild,
 )
 from rosemaryknot.process.gateway_state import GatewayState
 from rosemaryknot.process.logs import logger
@@ -25,46 +26,49 @@
 
 __all__ = ["GatewayConfigurations"]
 
-# A version that others are heard to have is mostly on its way here already.
-ON_ITS_WAY_S = 0.6
-ASK_TIMEOUT_S = 1.0
+# Delay before a version that other gateways have is requested from them: in most cases
+# its message is already on the way.
+PROPAGATION_TIME_S = 0.6
+REQUEST_TIMEOUT_S = 1.0
 SOURCE = "gateway"
-# Outcomes of taking a version over, beside the reasons of failed calls.
-TAKEN = "taken"
+# Outcomes of applying a received version, in addition to the reasons of failed calls.
+APPLIED = "taken"
 NOT_NEWER = "not newer"
 OTHER_BASE = "another base"
 NOT_READABLE = "not readable"
 NOT_USABLE = "not usable"
 UNEXPECTED = "unexpected answer"
 
-ASKED = counter("configurations_asked_total", "Configurations asked for, by outcome.")
+REQUESTED = counter(
+    "configurations_asked_total", "Configurations asked for, by outcome."
+)
 
 log = logger("spread")
 
 
 class GatewayConfigurations:
-    """Tells and takes versions of the configuration.
+    """Sender and receiver of versions of the configuration.
 
     Parameters
     ----------
     peers : PeerSet
         The other gateways.
     state : GatewayState
-        Holds the version in force.
+        Holds the current version.
     follower : StoreFollower
-        Follows the configuration in the store.
+        Watcher of the configuration in the store.
     handlers : Handlers
-        Of the node's links.
+        Message handlers of the node's links.
 
     Attributes
     ----------
-    shared : Document or None
-        What the other gateways were told last; most of them have it.
+    last_shared : Document or None
+        Last document that was sent to the other gateways; most of them have it.
     behind_since_s : float or None
-        Since when others are heard to have a newer version and nothing has come, in
-        trio time.
+        Time since which others report a newer version that has not arrived, in trio
+        time.
     unusable : int
-        Newest version that came and could not be put into force.
+        Newest received version that could not be applied.
     """
 
     def __init__(
@@ -77,19 +81,19 @@
         self.peers = peers
         self.state = state
         self.follower = follower
-        self.shared: Document | None = None
+        self.last_shared: Document | None = None
         self.behind_since_s: float | None = None
         self.unusable = -1
-        self.wanted, self.to_ask = trio.open_memory_channel[str](1)
-        handlers.on(ConfigurationTold)(self.handle_told)
-        handlers.on(ConfigurationWanted)(self.handle_wanted)
+        self.request_queue, self.pending_requests = trio.open_memory_channel[str](1)
+        handlers.on(ConfigurationTold)(self.handle_configuration)
+        handlers.on(ConfigurationWanted)(self.handle_request)
 
-    def news(self) -> ConfigurationTold | None:
-        """Return what to tell others that is new since the last call, or None."""
-        document, base = self.state.document, self.shared
+    def next_message(self) -> ConfigurationTold | None:
+        """Return a message for changes since the last call, or None without one."""
+        document, base = self.state.document, self.last_shared
         if document is None or document is base:
             return None
-        self.shared = document
+        self.last_shared = document
         return self.message(document, base)
 
     def message(self, document: Document, base: Document | None) -> ConfigurationTold:
@@ -102,91 +106,95 @@
         )
 
     def newer_than(self, version: int) -> ConfigurationTold | None:
-        """Return the whole document in force; None for a node that has that version."""
+        """Return the whole current document; None for a node that has that version."""
         document = self.state.document
         if document is None or document.version <= version:
             return None
         return self.message(document, None)
 
-    def note_heard(self, version: int, node: str, now_s: float) -> None:
-        """Note that another gateway has a version; ask it if that stays newer."""
-        self.state.note_heard(version)
-        if self.state.version >= self.state.heard_version:
+    def record_peer_version(self, version: int, node: str, now_s: float) -> None:
+        """Record another gateway's version; request it if it stays newer."""
+        self.state.record_peer_version(version)
+        if self.state.version >= self.state.peer_version:
             self.behind_since_s = None
         if version <= max(self.state.version, self.unusable):
             return
         if self.behind_since_s is None:
             self.behind_since_s = now_s
-        if now_s - self.behind_since_s > ON_ITS_WAY_S:
-            self.want(node)
+        if now_s - self.behind_since_s > PROPAGATION_TIME_S:
+            self.request(node)
 
-    def want(self, node: str) -> None:
-        """Have a gateway asked, unless one is being asked already."""
+    def request(self, node: str) -> None:
+        """Queue a request to a gateway unless another request is queued already."""
         try:
-            self.wanted.send_nowait(node)
+            self.request_queue.send_nowait(node)
         except trio.WouldBlock:
-            log.debug("already asking for a configuration", peer=node)
+            log.debug("configuration request already queued", peer=node)
 
     async def run(self) -> None:
-        """Ask for what is missing, until cancelled."""
-        async for node in self.to_ask:
-            await self.ask(node)
+        """Send queued requests until cancelled."""
+        async for node in self.pending_requests:
+            await self.request_configuration(node)
 
-    async def ask(self, node: str) -> None:
-        """Ask a gateway for what it has beyond the version in force here."""
+    async def request_configuration(self, node: str) -> None:
+        """Request a configuration newer than the current one from a gateway."""
         known = self.state.document
-        wanted = ConfigurationWanted(
+        request = ConfigurationWanted(
             version=self.state.version, digest=0 if known is None else known.digest
         )
-        answer = await self.peers.call(node, wanted, ASK_TIMEOUT_S)
-        if isinstance(answer, ConfigurationTold):
-            outcome = self.take(answer)
+        response = await self.peers.call(node, request, REQUEST_TIMEOUT_S)
+        if isinstance(response, ConfigurationTold):
+            outcome = self.apply(response)
         else:
-            outcome = answer.reason if isinstance(answer, CallFailed) else UNEXPECTED
-        ASKED.add(outcome=outcome)
+            outcome = (
+                response.reason if isinstance(response, CallFailed) else UNEXPECTED
+            )
+        REQUESTED.add(outcome=outcome)
         log.info(
-            "asked for a configuration",
+            "requested configuration from peer",
             peer=node,
-            before=wanted.version,
+            before=request.version,
             version=self.state.version,
             newest_version=self.state.newest_version,
             outcome=outcome,
         )
 
-    def take(self, told: ConfigurationTold) -> str:
-        """Put what another gateway tells into force; return what came of it."""
-        if told.version <= self.state.version:
+    def apply(self, message: ConfigurationTold) -> str:
+        """Apply a configuration from another gateway and return the outcome."""
+        if message.version <= self.state.version:
             return NOT_NEWER
         base = self.state.document
-        if told.base and (base is None or base.digest != told.base):
+        if message.base and (base is None or base.digest != message.base):
             return OTHER_BASE
         try:
-            packed = rebuilt(told.packed, base if told.base else None)
+            packed = rebuild(message.packed, base if message.base else None)
             value = msgpack.unpackb(packed, strict_map_key=False)
         except (DocumentError, ValueError, msgpack.UnpackException) as error:
-            log.error("told configuration not readable", error=str(error))
+            log.error("cannot decode configuration from peer", error=str(error))
             return NOT_READABLE
-        self.state.take_configuration(value, told.revision, SOURCE)
-        if told.version > self.state.version:
-            self.unusable = told.version
+        self.state.apply_configuration(value, message.revision, SOURCE)
+        if message.version > self.state.version:
+            self.unusable = message.version
             return NOT_USABLE
-        self.shared = self.state.document
+        self.last_shared = self.state.document
         self.behind_since_s = None
-        self.follower.pass_to(told.revision)
-        return TAKEN
+        self.follower.pass_to(message.revision)
+        return APPLIED
 
-    async def handle_told(self, told: ConfigurationTold, link: MessageLink) -> None:
-        """Take over a version; ask its teller where it differs from another one."""
-        self.state.note_heard(told.version)
-        if self.take(told) == OTHER_BASE:
-            self.want(link.hello.name)
+    async def handle_configuration(
+        self, message: ConfigurationTold, link: MessageLink
+    ) -> None:
+        """Apply a version; request it from its sender if the base does not match."""
+        self.state.record_peer_version(message.version)
+        if self.apply(message) == OTHER_BASE:
+            self.request(link.hello.name)
 
-    async def handle_wanted(
-        self, wanted: ConfigurationWanted, link: MessageLink
+    async def handle_request(
+        self, request: ConfigurationWanted, link: MessageLink
     ) -> ConfigurationTold:
-        """Answer a gateway that is behind."""
-        document, shared = self.state.document, self.shared
-        if document is None or document.version <= wanted.version:
+        """Respond to a gateway that is behind."""
+        document, base = self.state.document, self.last_shared
+        if document is None or document.version <= request.version:
             return ConfigurationTold(self.state.version, -1)
-        has_shared = shared is not None and shared.digest == wanted.digest
-        return self.message(document, shared if has_shared else None)
+        has_base = base is not None and base.digest == request.digest
+        return self.message(document, base if has_base else None)
--- a/src/rosemaryknot/process/gateway_documents.py
+++ b/src/rosemaryknot/process/gateway_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the configuration as gateways pass them on: whole or as a difference."""
+"""Encoding of configurations sent between gateways: whole or as a difference."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -9,14 +9,14 @@
 
 from rosemaryknot.values.compression import CompressionError, unpacked
 
-__all__ = ["Document", "DocumentError", "difference", "rebuilt"]
+__all__ = ["Document", "DocumentError", "difference", "rebuild"]
 
-# As large as an object of the store may be, with room for the other encoding.
-MAX_BYTES = 4 * 1024 * 1024
+# Maximum size of an object in the store, plus headroom for the different encoding.
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 
 
 class DocumentError(ValueError):
-    """Bytes that are no document, or do not fit their base."""
+    """Raised for bytes that are not a document or do not match their base."""
 
 
 @dataclass(slots=True)
@@ -26,18 +26,18 @@
     Attributes
     ----------
     version : int
-        Its version.
+        Version of the configuration.
     revision : int
-        Of the store, at which it was written.
+        Revision of the store at which the version was written.
     packed : bytes
-        The value that the operator wrote, in msgpack.
+        Value written by the operator, encoded as msgpack.
     digest : int
-        Of these bytes.
+        Digest of the packed bytes.
 
     Examples
     --------
     >>> old, new = Document.of(1, 7, [1, 2]), Document.of(2, 8, [1, 2, 3])
-    >>> rebuilt(difference(new, old), old) == new.packed
+    >>> rebuild(difference(new, old), old) == new.packed
     True
     """
 
@@ -56,12 +56,12 @@
 
 
 def digest_of(packed: bytes) -> int:
-    """Return a number that names a document's bytes; it fits a message."""
+    """Return the digest of a document's bytes, shifted to fit a message's integers."""
     return xxhash.xxh64_intdigest(packed) >> 1
 
 
 def dictionary_of(base: Document | None) -> zstandard.ZstdCompressionDict | None:
-    """Return a document as what another one may refer to."""
+    """Return a document as a compression dictionary for another one."""
     if base is None:
         return None
     raw = zstandard.DICT_TYPE_RAWCONTENT
@@ -69,33 +69,33 @@
 
 
 def difference(document: Document, base: Document | None) -> bytes:
-    """Return a document as a difference to another one, compressed.
+    """Return a document as a compressed difference from another one.
 
     Parameters
     ----------
     document : Document
-        What to pass on.
+        Document to send.
     base : Document or None
-        What the other end has; None for nothing.
+        Document that the receiver has; None if it has none.
 
     Returns
     -------
     packed : bytes
-        What `rebuilt` takes.
+        Input for `rebuild`.
     """
     compressor = zstandard.ZstdCompressor(dict_data=dictionary_of(base))
     return compressor.compress(document.packed)
 
 
-def rebuilt(packed: bytes, base: Document | None) -> bytes:
-    """Return the document that a difference was made of.
+def rebuild(packed: bytes, base: Document | None) -> bytes:
+    """Return the packed bytes of the document that a difference was computed from.
 
     Raises
     ------
     DocumentError
-        If the bytes are none, or a document would be too large.
+        If the bytes are not a difference from the base, or the document is too large.
     """
     try:
-        return unpacked(packed, MAX_BYTES, dictionary_of(base))
+        return unpacked(packed, MAX_DOCUMENT_BYTES, dictionary_of(base))
     except CompressionError as error:
         raise DocumentError(str(error)) from error
--- a/src/rosemaryknot/process/gateway_exchange.py
+++ b/src/rosemaryknot/process/gateway_exchange.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other, and what each makes of it."""
+"""Exchange of periodic reports between gateways."""
 
 import random
 from typing import Any
@@ -7,7 +7,7 @@
 
 from rosemaryknot.connection.links import Handlers, MessageLink
 from rosemaryknot.process.configuration_spread import chosen_nodes
-from rosemaryknot.process.exchange_parts import ExchangeParts
+from rosemaryknot.process.exchange_components import ExchangeComponents
 from rosemaryknot.process.hub_exchange import HubExchange
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.server_state import PeerLoad
@@ -22,150 +22,158 @@
 
 __all__ = ["GatewayExchange"]
 
-REPORT_S = 0.25
-LOAD_REPORT_S = 0.05
-# A load that was told longer ago than this says nothing any more; streams last for
-# seconds, and a gateway whose load does not change tells nothing.
-LOAD_S = 3.0
-# A gateway that was not heard for this long brings no demand any more.
-FRESH_S = 1.0
-# Places of parts told in one report at most.
-MAX_PLACES = 200
-# Gateways that pass newer state on to one that cannot reach the store.
-HELPERS = 2
-OFFER_PAUSE_S = 0.5
-# A difference that stays this long is no matter of the way any more, by kind of object;
-# other gateways are asked for the configuration before the store is.
-BEHIND_S = {"configuration": 1.5, "servers": 0.6}
+REPORT_INTERVAL_S = 0.25
+LOAD_REPORT_INTERVAL_S = 0.05
+# A peer's load is discarded if it was reported longer ago than this. Streams last for
+# seconds, and a gateway whose load does not change sends no load report.
+LOAD_MAX_AGE_S = 3.0
+# The demand of a gateway that has not reported for this long is ignored.
+REPORT_MAX_AGE_S = 1.0
+# Maximum number of prefix locations in one report.
+MAX_REPORTED_LOCATIONS = 200
+# Number of gateways that send newer state to one that cannot reach the store.
+HELPER_COUNT = 2
+OFFER_INTERVAL_S = 0.5
+# A lag behind other gateways that lasts longer than this is not explained by message
+# latency, by kind of object. The configuration is requested from other gateways before
+# it is requested from the store.
+MAX_LAG_S = {"configuration": 1.5, "servers": 0.6}
 
 log = logger("exchange")
 
 
 class GatewayExchange:
-    """Sends this gateway's reports and takes in the others'.
+    """Sender of this gateway's reports and receiver of those of other gateways.
 
     Parameters
     ----------
-    parts : ExchangeParts
-        What reports are made from and taken into.
+    components : ExchangeComponents
+        Components that reports are built from and applied to.
     handlers : Handlers
-        Of the node's links.
+        Message handlers of the node's links.
     rng : random.Random
-        Spreads the reports over time.
+        Source of the jitter between reports.
     lease_name : str
-        Of the duties' lease; its candidates are told of usage and demand.
+        Name of the lease for duties, the tasks that only the holder of this lease
+        performs. The candidates for the lease receive usage and demand.
 
     Attributes
     ----------
     reports : dict of str to tuple of (float, GatewayReport)
-        When each gateway's last report came, and it.
+        Each gateway's last report, with the time at which it was received.
     """
 
     def __init__(
         self,
-        parts: ExchangeParts,
+        components: ExchangeComponents,
         handlers: Handlers,
         rng: random.Random,
         lease_name: str,
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.rng = rng
         self.sequence = 0
         self.reports: dict[str, tuple[float, GatewayReport]] = {}
-        self.offered_s: dict[str, float] = {}
+        self.last_offer_s: dict[str, float] = {}
         self.behind_since_s: dict[str, float] = {}
         self.lease_name = lease_name
-        self.hubs = HubExchange(parts, self, handlers)
+        self.hubs = HubExchange(components, self, handlers)
         handlers.on(GatewayReport)(self.handle_report)
         handlers.on(LoadReport)(self.handle_load)
         handlers.on(StateOffer)(self.handle_offer)
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Send reports until cancelled."""
         while True:
-            await trio.sleep(REPORT_S * self.rng.uniform(0.9, 1.1))
+            await trio.sleep(REPORT_INTERVAL_S * self.rng.uniform(0.9, 1.1))
             self.refresh()
             if self.hubs.is_large():
-                await self.hubs.tell()
+                await self.hubs.send_report()
             else:
-                await self.parts.peers.broadcast(self.report())
+                await self.components.peers.broadcast(self.report())
 
     def refresh(self) -> None:
-        """Deal limits out anew and forget what is old."""
-        parts = self.parts
+        """Update customers' limits and remove expired state."""
+        components = self.components
         now_s = trio.current_time()
-        self.note_returned(parts.store.returned_s, parts.node.name)
-        parts.quota.tick(now_s, len(parts.peers.nodes()) + 1)
-        parts.quota.forget(now_s)
-        parts.usage.forget(parts.clock.now())
-        for state in parts.state.servers.by_id.values():
+        self.record_reconnect(components.store.returned_s, components.node.name)
+        components.quota.tick(now_s, len(components.peers.nodes()) + 1)
+        components.quota.remove_expired(now_s)
+        components.usage.remove_expired(components.clock.now())
+        for state in components.state.servers.by_id.values():
             state.peers = {
                 name: load
                 for name, load in state.peers.items()
-                if now_s - load.at_s < LOAD_S
+                if now_s - load.reported_s < LOAD_MAX_AGE_S
             }
 
     def report(self) -> GatewayReport:
-        """Return this gateway's state."""
-        parts = self.parts
+        """Return a report of this gateway's state."""
+        components = self.components
         self.sequence += 1
         return GatewayReport(
-            node=parts.node.name,
-            incarnation=parts.node.incarnation,
+            node=components.node.name,
+            incarnation=components.node.incarnation,
             sequence=self.sequence,
-            clock_s=parts.clock.wall(),
-            version=parts.state.version,
-            revisions={kind: f.revision for kind, f in parts.followers.items()},
-            seen={kind: f.seen for kind, f in parts.followers.items()},
-            returned_ago_s=trio.current_time() - parts.store.returned_s,
-            spent=parts.quota.told(),
-            runs=parts.usage.told(parts.clock.now()),
+            clock_s=components.clock.wall(),
+            version=components.state.version,
+            revisions={kind: f.revision for kind, f in components.followers.items()},
+            seen={kind: f.seen for kind, f in components.followers.items()},
+            returned_ago_s=trio.current_time() - components.store.returned_s,
+            spent=components.quota.report(),
+            runs=components.usage.report(components.clock.now()),
             demand=self.report_demand(),
-            lost=[kind for kind, f in parts.followers.items() if f.is_lost()],
-            counted_s=parts.clock.now(),
+            lost=[kind for kind, f in components.followers.items() if f.is_lost()],
+            counted_s=components.clock.now(),
         )
 
     def report_demand(self) -> dict[str, list]:
-        """Return what this gateway's callers ask for, by service."""
-        parts = self.parts
-        parts.demand.decay()
-        rate = round(parts.state.servers.rate)
+        """Return the demand of this gateway's callers, by service."""
+        components = self.components
+        components.demand.decay()
+        rate = round(components.state.servers.rate)
         return {
             name: [round(tokens), self.in_flight(name), rate]
-            for name, tokens in parts.demand.tokens.items()
+            for name, tokens in components.demand.tokens.items()
         }
 
-    def fresh_reports(self) -> list[GatewayReport]:
-        """Return the latest reports of the gateways that are heard."""
+    def current_reports(self) -> list[GatewayReport]:
+        """Return the latest reports of the gateways that are reporting."""
         now_s = trio.current_time()
-        return [r for at_s, r in self.reports.values() if now_s - at_s < FRESH_S]
-
-    def uncounted(self, true_s: float) -> list[str]:
-        """Return the live gateways whose usage up to a time was not heard."""
-        counted_s = self.parts.usage.counted_s
-        names = [node.name for node in self.parts.peers.nodes()]
-        return [name for name in names if counted_s.get(name, 0.0) < true_s]
+        return [
+            r
+            for reported_s, r in self.reports.values()
+            if now_s - reported_s < REPORT_MAX_AGE_S
+        ]
+
+    def nodes_missing_counts(self, synchronized_s: float) -> list[str]:
+        """Return the live gateways whose usage up to a time was not received."""
+        counted_s = self.components.usage.counted_s
+        names = [node.name for node in self.components.peers.nodes()]
+        return [name for name in names if counted_s.get(name, 0.0) < synchronized_s]
 
     def in_flight(self, service: str) -> int:
-        """Return this gateway's requests at a service's servers."""
-        states = self.parts.state.servers.by_id.values()
+        """Return the number of this gateway's requests at a service's servers."""
+        states = self.components.state.servers.by_id.values()
         return sum(s.in_flight for s in states if s.entry.service == service)
 
     async def handle_report(self, report: GatewayReport, link: MessageLink) -> None:
-        """Take in what another gateway tells."""
+        """Apply another gateway's report."""
         now_s = trio.current_time()
-        if not self.take_report(report, now_s) or self.hubs.is_on:
-            # Beyond what duties use, the rest comes with the sums there, and would be
-            # counted twice.
+        if not self.apply_report(report, now_s) or self.hubs.is_enabled:
+            # With hubs, only the part used by duties is applied. The rest arrives with
+            # the hubs' aggregates and would be counted twice.
             return
-        self.take_spent(report, now_s)
-        parts = self.parts
-        parts.configurations.note_heard(report.version, report.node, now_s)
+        self.apply_spent(report, now_s)
+        components = self.components
+        components.configurations.record_peer_version(
+            report.version, report.node, now_s
+        )
         self.compare(report, now_s)
         await self.help(report, now_s)
 
-    def take_report(self, report: GatewayReport, now_s: float) -> bool:
-        """Take over what duties use of a report; return False for a late one."""
+    def apply_report(self, report: GatewayReport, now_s: float) -> bool:
+        """Apply the part of a report that duties use; return False for a late one."""
         known = self.reports.get(report.node)
         if known is not None:
             last = known[1]
@@ -175,16 +183,18 @@
             ):
                 return False
         self.reports[report.node] = (now_s, report)
-        self.parts.clock.note_peer(report.node, report.clock_s)
-        self.parts.usage.note_told(report.node, report.incarnation, report.runs)
-        self.parts.usage.note_counted(report.node, report.counted_s)
+        self.components.clock.record_peer(report.node, report.clock_s)
+        self.components.usage.record_report(
+            report.node, report.incarnation, report.runs
+        )
+        self.components.usage.record_counted(report.node, report.counted_s)
         return True
 
-    def take_for_duties(self, reports: list[list]) -> None:
-        """Take over what the hub of a zone passes on for duties."""
+    def apply_duty_reports(self, reports: list[list]) -> None:
+        """Apply the reports for duties that the hub of a zone forwards."""
         now_s = trio.current_time()
         for node, incarnation, sequence, clock_s, counted_s, runs, demand in reports:
-            if node != self.parts.node.name:
+            if node != self.components.node.name:
                 report = GatewayReport(
                     node,
                     incarnation,
@@ -195,107 +205,115 @@
                     demand=demand,
                     counted_s=counted_s,
                 )
-                self.take_report(report, now_s)
+                self.apply_report(report, now_s)
 
-    def take_spent(self, report: GatewayReport, now_s: float) -> None:
-        """Count what a gateway has taken of customers' limits."""
-        configuration = self.parts.state.configuration
+    def apply_spent(self, report: GatewayReport, now_s: float) -> None:
+        """Count a gateway's usage of customers' limits."""
+        configuration = self.components.state.configuration
         if configuration is None:
             return
         for customer, (total, demand) in report.spent.items():
             limit = configuration.customers.get(customer)
             if limit is not None and limit.rate > 0:
-                self.parts.quota.note_peer(
+                self.components.quota.record_peer(
                     limit, report.node, report.incarnation, total, demand, now_s
                 )
 
     async def run_loads(self) -> None:
-        """Tell what is in flight as soon as it has changed, until cancelled.
+        """Report requests in flight soon after they change, until cancelled.
 
-        Servers are chosen by what all gateways have in flight, so this is told more
-        often than the rest.
+        Servers are chosen by the requests that all gateways have in flight, so these
+        are reported more often than the other values.
         """
-        servers = self.parts.state.servers
+        servers = self.components.state.servers
         while True:
-            await trio.sleep(LOAD_REPORT_S * self.rng.uniform(0.9, 1.1))
-            if servers.has_changed and not self.hubs.is_on:
-                servers.has_changed = False
-                await self.parts.peers.broadcast(self.load_report())
+            await trio.sleep(LOAD_REPORT_INTERVAL_S * self.rng.uniform(0.9, 1.1))
+            if servers.has_unreported_load and not self.hubs.is_enabled:
+                servers.has_unreported_load = False
+                await self.components.peers.broadcast(self.load_report())
 
     def load_report(self) -> LoadReport:
-        """Return what this gateway has in flight."""
-        servers = self.parts.state.servers
+        """Return a report of the requests that this gateway has in flight."""
+        servers = self.components.state.servers
         return LoadReport(
-            self.parts.node.name, servers.loads(), servers.new_places(MAX_PLACES)
+            self.components.node.name,
+            servers.loads(),
+            servers.pop_recent_locations(MAX_REPORTED_LOCATIONS),
         )
 
     async def handle_load(self, report: LoadReport, link: MessageLink) -> None:
-        """Take over what a gateway has in flight, and where it sent prompts."""
+        """Apply a gateway's requests in flight and its prefix locations."""
         now_s = trio.current_time()
-        servers = self.parts.state.servers
+        servers = self.components.state.servers
         for state in servers.by_id.values():
-            load = report.loads.get(state.told_as)
+            load = report.loads.get(state.incarnation_key)
             if load is None:
                 state.peers.pop(report.node, None)
             else:
                 state.peers[report.node] = PeerLoad(int(load[0]), int(load[1]), now_s)
-        for part_id, told_as in report.places:
-            servers.note_place(part_id, told_as)
+        for segment_id, incarnation_key in report.places:
+            servers.record_location(segment_id, incarnation_key)
 
     def compare(self, report: GatewayReport, now_s: float) -> None:
-        """Ask the store again when another gateway stays ahead of this one."""
-        self.note_returned(now_s - report.returned_ago_s, report.node)
-        for kind, follower in self.parts.followers.items():
+        """Resynchronize with the store if another gateway stays ahead of this one."""
+        self.record_reconnect(now_s - report.returned_ago_s, report.node)
+        for kind, follower in self.components.followers.items():
             if follower.revision >= report.seen.get(kind, -1):
                 self.behind_since_s.pop(kind, None)
                 continue
             since_s = self.behind_since_s.setdefault(kind, now_s)
-            if now_s - since_s > BEHIND_S[kind]:
-                follower.look_again(f"{report.node} is ahead")
+            if now_s - since_s > MAX_LAG_S[kind]:
+                follower.look_again(f"{report.node} has a newer revision")
 
-    def note_returned(self, returned_s: float, node: str) -> None:
-        """Ask the store again where a node has found it since it was last asked.
+    def record_reconnect(self, returned_s: float, node: str) -> None:
+        """Resynchronize with the store if a node reached it after our pending query.
 
-        An outage may have swallowed the call of this node without a sign.
+        An outage may have dropped this node's query without an error.
         """
-        for follower in self.parts.followers.values():
+        for follower in self.components.followers.values():
             if follower.waits_since_before(returned_s):
-                follower.look_again(f"{node} found the store again")
+                follower.look_again(f"{node} reached the store again")
 
     async def help(self, report: GatewayReport, now_s: float) -> None:
-        """Pass newer state on to a gateway that is behind for lack of the store."""
+        """Send newer state to a gateway that cannot reach the store."""
         if report.lost and self.is_helper(report.node):
             await self.offer(report, now_s)
 
     async def offer(self, report: GatewayReport | HubReport, now_s: float) -> None:
-        """Send a gateway what it lacks, not more often than it can take it over."""
-        last_s = self.offered_s.get(report.node, float("-inf"))
-        if now_s - last_s < OFFER_PAUSE_S:
+        """Send a gateway the state that it lacks.
+
+        Limited to once per offer interval, so that the gateway can apply one offer
+        before the next.
+        """
+        last_s = self.last_offer_s.get(report.node, float("-inf"))
+        if now_s - last_s < OFFER_INTERVAL_S:
             return
-        self.offered_s[report.node] = now_s
+        self.last_offer_s[report.node] = now_s
         for offer in self.offers(report):
-            await self.parts.peers.send(report.node, offer)
+            await self.components.peers.send(report.node, offer)
 
     def watching(self, kind: str) -> set[str]:
-        """Return the nodes that are heard and reach the store for a kind of object."""
-        if self.hubs.is_on:
+        """Return the reporting nodes that reach the store for a kind of object."""
+        if self.hubs.is_enabled:
             return set(self.hubs.watching(kind))
-        return {r.node for r in self.fresh_reports() if kind not in r.lost}
+        return {r.node for r in self.current_reports() if kind not in r.lost}
 
     def is_helper(self, node: str) -> bool:
-        """Tell whether this gateway is one of those that help another."""
-        parts = self.parts
-        nodes = [other for other in parts.peers.nodes() if other.name != node]
-        return parts.node in chosen_nodes([*nodes, parts.node], node, HELPERS)
+        """Return whether this gateway is one of those that help another one."""
+        components = self.components
+        nodes = [other for other in components.peers.nodes() if other.name != node]
+        return components.node in chosen_nodes(
+            [*nodes, components.node], node, HELPER_COUNT
+        )
 
     def offers(self, report: GatewayReport | HubReport) -> list[Message]:
-        """Return what a gateway lacks."""
-        state = self.parts.state
+        """Return messages with the state that a gateway lacks."""
+        state = self.components.state
         found: list[Message] = []
-        configuration = self.parts.configurations.newer_than(report.version)
+        configuration = self.components.configurations.newer_than(report.version)
         if configuration is not None:
             found.append(configuration)
-        follower = self.parts.followers["servers"]
+        follower = self.components.followers["servers"]
         theirs = report.revisions.get("servers", -1)
         if theirs < follower.revision and not follower.is_lost():
             objects = {name: list(entry) for name, entry in state.entries.items()}
@@ -303,8 +321,8 @@
         return found
 
     async def handle_offer(self, offer: StateOffer, link: MessageLink) -> None:
-        """Take newer servers over while the store cannot be reached."""
-        follower = self.parts.followers["servers"]
+        """Apply a newer list of servers while the store is unreachable."""
+        follower = self.components.followers["servers"]
         is_newer = offer.revision > follower.revision
         if offer.kind_name != "servers" or not follower.is_lost() or not is_newer:
             return
@@ -312,7 +330,7 @@
             name: StoredObject(int(entry[0]), entry[1])
             for name, entry in offer.objects.items()
         }
-        log.info("servers taken over from another gateway", revision=offer.revision)
-        self.parts.state.list_servers(Listed(offer.revision, objects))
+        log.info("applied servers from another gateway", revision=offer.revision)
+        self.components.state.list_servers(Listed(offer.revision, objects))
         follower.revision = offer.revision
         follower.seen = max(follower.seen, offer.revision)
--- a/src/rosemaryknot/process/hub_exchange.py
+++ b/src/rosemaryknot/process/hub_exchange.py
@@ -1,10 +1,13 @@
-"""What gateways of a large deployment tell each other, through a hub of each zone.
+"""Exchange of reports through one hub per zone, for large deployments.
 
-Load pattern: told to everybody, reports grow with the square of the nodes; at 65 nodes
-they took more processor time than the requests. Here a node reports to the hub of its
-zone, hubs tell each other the sums, and each node gets one sum back. The hub is the
-zone's first relay, which has a link to every node of the zone; a node whose hub does
-not answer turns to the next relay, and a node that is reported to acts as a hub.
+Load pattern: if every gateway reports to every other one, the number of reports grows
+with the square of the number of nodes; at 65 nodes, reports took more processor time
+than requests. With hubs, a node reports to the hub of its zone, hubs send each other
+their aggregates, and each node receives one aggregate in return. The hub is the zone's
+first relay, which has a link to every node of the zone. A node whose hub does not
+respond selects the next relay, and a node that receives reports acts as a hub.
+
+A duty is a task that only the holder of a lease performs.
 """
 
 from collections.abc import Callable
@@ -13,14 +16,14 @@
 import trio
 
 from rosemaryknot.connection.links import Handlers, MessageLink
-from rosemaryknot.process.exchange_parts import ExchangeParts
-from rosemaryknot.process.highest_of_late import HighestOfLate
-from rosemaryknot.process.hub_sums import HubBook, OwnReports
+from rosemaryknot.process.exchange_components import ExchangeComponents
+from rosemaryknot.process.hub_aggregates import HubAggregator, OwnReports
 from rosemaryknot.process.leases import lease_candidates
-from rosemaryknot.process.limit_takings import FORGET_S
+from rosemaryknot.process.limit_usage import SOURCE_EXPIRY_S
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.peer_links import relays_of
 from rosemaryknot.process.server_state import PeerLoad
+from rosemaryknot.process.sliding_maximum import SlidingMaximum
 from rosemaryknot.values.gateway_peers import (
     DutyReports,
     GatewayReport,
@@ -34,162 +37,184 @@
 
 __all__ = ["HubExchange"]
 
-# Up to this many nodes everybody tells everybody: the full mesh of links ends here.
-DIRECT_NODES = 24
-RELAYS = 3
-# A hub that has told nothing for this long is passed over; four reports.
-SILENT_S = 1.0
-# What only duties need is told each second time.
-DUTIES_EACH = 2
-# Under this name all other gateways are kept where one is kept by name.
+# Up to this many nodes, every node reports to every other one. Larger deployments have
+# no full mesh of links.
+MAX_MESH_NODES = 24
+RELAYS_PER_ZONE = 3
+# A hub from which no aggregate arrives for this long is replaced by the next relay.
+# Four report intervals.
+HUB_TIMEOUT_S = 1.0
+# Values that only duties need are sent with every second report.
+REPORTS_PER_DUTY_REPORT = 2
+# Name under which all other gateways are stored where values are stored by gateway.
 OTHERS = "others"
 
 log = logger("hubs")
 
 
 class HubExchange:
-    """One node's reports to its hub, and its work as a hub.
+    """One node's reports to its hub, and its role as a hub.
 
     Parameters
     ----------
-    parts : ExchangeParts
-        What reports are made from and taken into.
+    components : ExchangeComponents
+        Components that reports are built from and applied to.
     exchange : GatewayExchange
-        Compares states and helps those that are behind.
+        Compares states and helps nodes that are behind.
     handlers : Handlers
-        Of the node's links.
+        Message handlers of the node's links.
 
     Attributes
     ----------
-    book : HubBook
-        What was reported here.
-    turn : int
-        Which of the zone's relays this node reports to.
-    turned_s : float
-        When a sum came last, or this node turned to another relay.
-    heard_s : float
-        When a sum came last.
-    nodes : HighestOfLate
-        How many nodes seem to live, this one included.
+    aggregator : HubAggregator
+        Reports received by this node.
+    own : OwnReports
+        Recent reports of this node.
+    relay_index : int
+        Index of the zone's relay that this node reports to.
+    silence_started_s : float
+        Time of the last aggregate or of the last change of relay.
+    last_aggregate_s : float
+        Time of the last aggregate.
+    is_enabled : bool
+        Whether reports are sent through hubs.
+    nodes : SlidingMaximum
+        Sliding maximum of the number of live nodes, this one included.
+    last_aggregate : HubSum or None
+        Last aggregate of all gateways.
+    counted_totals : dict of str to float
+        Total usage in the last aggregate, by customer.
     holds_lease : callable
-        Tells whether this node holds the lease of the duties.
+        Returns whether this node holds the lease for duties.
     """
 
     def __init__(
-        self, parts: ExchangeParts, exchange: "GatewayExchange", handlers: Handlers
+        self,
+        components: ExchangeComponents,
+        exchange: "GatewayExchange",
+        handlers: Handlers,
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.exchange = exchange
-        self.book = HubBook(parts.node.name, parts.node.incarnation)
+        self.aggregator = HubAggregator(
+            components.node.name, components.node.incarnation
+        )
         self.own = OwnReports()
         self.sequence = 0
-        self.turn = 0
-        self.turned_s = 0.0
-        self.heard_s = 0.0
-        self.is_on = False
-        self.nodes = HighestOfLate()
-        self.last: HubSum | None = None
-        self.totals: dict[str, float] = {}
+        self.relay_index = 0
+        self.silence_started_s = 0.0
+        self.last_aggregate_s = 0.0
+        self.is_enabled = False
+        self.nodes = SlidingMaximum()
+        self.last_aggregate: HubSum | None = None
+        self.counted_totals: dict[str, float] = {}
         self.holds_lease: Callable[[], bool] = lambda: False
         handlers.on(HubReport)(self.handle_report)
         handlers.on(HubSum)(self.handle_sum)
-        handlers.on(DutyReports)(self.handle_for_duties)
+        handlers.on(DutyReports)(self.handle_duty_reports)
 
     def is_large(self) -> bool:
-        """Tell whether the deployment has too many nodes to tell everybody.
+        """Return whether the deployment has too many nodes for direct reports.
 
-        One that has just become small may be cut in two: what the hubs know of the
-        other side's takings must not be forgotten then.
+        A deployment that has just become small may be split by a network partition.
+        The hubs must not discard what they know of the other side's usage then.
         """
         now_s = trio.current_time()
-        self.nodes.note(len(self.parts.peers.nodes()) + 1, now_s)
-        is_large = self.nodes.value(now_s, FORGET_S) > DIRECT_NODES
-        if is_large != self.is_on:
-            self.is_on = is_large
-            self.parts.state.servers.is_told_late = is_large
-            self.turned_s = self.heard_s = trio.current_time()
-            self.parts.quota.report_through_hubs(is_large)
-            log.info("reports go through hubs" if is_large else "reports go to all")
+        self.nodes.record(len(self.components.peers.nodes()) + 1, now_s)
+        is_large = self.nodes.value(now_s, SOURCE_EXPIRY_S) > MAX_MESH_NODES
+        if is_large != self.is_enabled:
+            self.is_enabled = is_large
+            self.components.state.servers.uses_hub_loads = is_large
+            self.silence_started_s = self.last_aggregate_s = trio.current_time()
+            self.components.quota.set_hub_reporting(is_large)
+            log.info("reporting through hubs" if is_large else "reporting directly")
         return is_large
 
     def relays(self, zone: str) -> list[str]:
-        """Return the names of a zone's relays, the hub first."""
-        nodes = [*self.parts.peers.nodes(), self.parts.node]
-        return relays_of([n.name for n in nodes if n.zone == zone], RELAYS)
+        """Return the names of a zone's relays, with the hub first."""
+        nodes = [*self.components.peers.nodes(), self.components.node]
+        return relays_of([n.name for n in nodes if n.zone == zone], RELAYS_PER_ZONE)
 
     def target(self) -> str:
-        """Return the node to report to."""
-        relays = self.relays(self.parts.node.zone)
-        return relays[self.turn % len(relays)]
+        """Return the name of the node to report to."""
+        relays = self.relays(self.components.node.zone)
+        return relays[self.relay_index % len(relays)]
 
     def is_hub(self) -> bool:
-        """Tell whether this node acts as a hub."""
-        name = self.parts.node.name
-        return self.target() == name or self.book.is_hub(trio.current_time())
+        """Return whether this node acts as a hub."""
+        name = self.components.node.name
+        return self.target() == name or self.aggregator.is_hub(trio.current_time())
 
     def watching(self, kind: str) -> list[str]:
-        """Return the nodes that were told to watch a kind of object.
+        """Return the nodes that are reported to watch a kind of object.
 
-        While no sum comes nobody is trusted to, however many relays were asked: a
-        turn to a relay that is silent too would hide changes for a second more.
+        While no aggregate arrives, no node is trusted to watch, however many relays
+        were tried. Otherwise a change to a relay that is silent too would hide changes
+        of objects for another second.
         """
-        if self.last is None or trio.current_time() - self.heard_s > SILENT_S:
+        if (
+            self.last_aggregate is None
+            or trio.current_time() - self.last_aggregate_s > HUB_TIMEOUT_S
+        ):
             return []
-        return self.last.watching.get(kind, [])
+        return self.last_aggregate.watching.get(kind, [])
 
-    # As one of many.
+    # Role as a reporting node.
 
-    async def tell(self) -> None:
-        """Report once."""
+    async def send_report(self) -> None:
+        """Send one report."""
         now_s = trio.current_time()
         report = self.report()
-        if self.sequence % DUTIES_EACH == 0:
-            report.duties = await self.tell_for_duties()
-        self.own.note(report)
+        if self.sequence % REPORTS_PER_DUTY_REPORT == 0:
+            report.duties = await self.report_for_duties()
+        self.own.record(report)
         target = self.target()
-        if target == self.parts.node.name:
-            self.book.take_report(report, now_s)
+        if target == self.components.node.name:
+            self.aggregator.apply_report(report, now_s)
         else:
-            await self.parts.peers.send(target, report)
+            await self.components.peers.send(target, report)
         if self.is_hub():
-            await self.serve()
-        if now_s - self.turned_s > SILENT_S:
-            self.turn += 1
-            self.turned_s = now_s
-            log.info("hub silent, turns to another", silent=target, to=self.target())
+            await self.publish()
+        if now_s - self.silence_started_s > HUB_TIMEOUT_S:
+            self.relay_index += 1
+            self.silence_started_s = now_s
+            log.info(
+                "hub silent; selecting next relay", silent=target, to=self.target()
+            )
 
     def report(self) -> HubReport:
-        """Return this gateway's state."""
-        parts = self.parts
+        """Return a report of this gateway's state."""
+        components = self.components
         now_s = trio.current_time()
         self.sequence += 1
-        servers = parts.state.servers
+        servers = components.state.servers
         return HubReport(
-            node=parts.node.name,
-            incarnation=parts.node.incarnation,
+            node=components.node.name,
+            incarnation=components.node.incarnation,
             sequence=self.sequence,
-            version=parts.state.version,
-            revisions={kind: f.revision for kind, f in parts.followers.items()},
-            seen={kind: f.seen for kind, f in parts.followers.items()},
-            returned_ago_s=now_s - parts.store.returned_s,
-            lost=[kind for kind, f in parts.followers.items() if f.is_lost()],
+            version=components.state.version,
+            revisions={kind: f.revision for kind, f in components.followers.items()},
+            seen={kind: f.seen for kind, f in components.followers.items()},
+            returned_ago_s=now_s - components.store.returned_s,
+            lost=[kind for kind, f in components.followers.items() if f.is_lost()],
             watches=self.is_hub(),
             holds=self.holds_lease(),
-            spent=parts.quota.told(),
+            spent=components.quota.report(),
             loads=servers.loads(),
         )
 
-    async def tell_for_duties(self) -> list:
-        """Return what only duties need, for the hub to pass on.
+    async def report_for_duties(self) -> list:
+        """Return the values that only duties need, for the hub to forward.
 
-        From each node to each candidate, 91 nodes sent 550 such reports a second, most
-        of them past missing links by relays. The holder of the lease tells it to the
-        candidates itself: they look sooner for another holder where it falls silent,
-        which the end of its hub must not bring about.
+        When each node sent them to each candidate, 91 nodes sent 550 such reports per
+        second, most of them forwarded by relays because of missing links. The holder of
+        the lease still reports to the candidates directly: they look for a new holder
+        earlier if the current one is silent, and a failure of its hub must not cause
+        that.
         """
         report = self.exchange.report()
         if self.holds_lease():
-            await self.parts.peers.send_all(self.with_duties(), report)
+            await self.components.peers.send_all(self.duty_nodes(), report)
         return [
             report.sequence,
             report.clock_s,
@@ -198,142 +223,158 @@
             report.demand,
         ]
 
-    def with_duties(self) -> list[str]:
-        """Return the names of those that have duties, or would take them.
+    def duty_nodes(self) -> list[str]:
+        """Return the names of nodes that perform duties or are candidates for them.
 
-        The holder of the lease took it when the deployment was small, and need not
-        be among those that would take it now.
+        The holder may have acquired the lease when the deployment was small and need
+        not be among the current candidates.
         """
-        parts = self.parts
-        nodes = [*parts.peers.nodes(), parts.node]
+        components = self.components
+        nodes = [*components.peers.nodes(), components.node]
         names = {n.name for n in lease_candidates(nodes, self.exchange.lease_name)}
-        if self.last is not None:
-            names.update(self.last.holders)
+        if self.last_aggregate is not None:
+            names.update(self.last_aggregate.holders)
         return sorted(names)
 
-    def take_region(self, told: HubSum) -> None:
-        """Take over the sum of all gateways."""
-        if told.hub != self.target():
+    def apply_region(self, aggregate: HubSum) -> None:
+        """Apply an aggregate of all gateways."""
+        if aggregate.hub != self.target():
             return
         now_s = trio.current_time()
-        self.turned_s = self.heard_s = now_s
-        last, self.last = self.last, told
-        is_same = last is not None and (last.hub, last.incarnation) == (
-            told.hub,
-            told.incarnation,
+        self.silence_started_s = self.last_aggregate_s = now_s
+        last_aggregate, self.last_aggregate = self.last_aggregate, aggregate
+        is_same = last_aggregate is not None and (
+            last_aggregate.hub,
+            last_aggregate.incarnation,
+        ) == (
+            aggregate.hub,
+            aggregate.incarnation,
         )
         if not is_same:
-            self.totals = {}
+            self.counted_totals = {}
             self.own.counted = None
-        sequence = told.counted.get(self.parts.node.name, -1)
-        own_taken = self.own.taken_between(sequence)
+        sequence = aggregate.counted.get(self.components.node.name, -1)
+        own_acquired = self.own.newly_counted(sequence)
         if is_same:
-            self.take_spent(told, own_taken)
-        self.totals |= {name: total for name, (total, _) in told.spent.items()}
-        self.take_loads(told, now_s)
-        self.parts.clock.note_peer(OTHERS, told.clock_s)
-        self.parts.configurations.note_heard(told.version, told.hub, now_s)
-        self.exchange.compare(newest_of(told), now_s)
-
-    def take_spent(self, told: HubSum, own_taken: dict[str, float]) -> None:
-        """Count what the other gateways have taken of customers' limits."""
-        configuration = self.parts.state.configuration
+            self.apply_spent(aggregate, own_acquired)
+        self.counted_totals |= {
+            name: total for name, (total, _) in aggregate.spent.items()
+        }
+        self.apply_loads(aggregate, now_s)
+        self.components.clock.record_peer(OTHERS, aggregate.clock_s)
+        self.components.configurations.record_peer_version(
+            aggregate.version, aggregate.hub, now_s
+        )
+        self.exchange.compare(newest_state(aggregate), now_s)
+
+    def apply_spent(self, aggregate: HubSum, own_acquired: dict[str, float]) -> None:
+        """Count the other gateways' usage of customers' limits."""
+        configuration = self.components.state.configuration
         if configuration is None:
             return
         counted = self.own.counted
         own = {} if counted is None else counted.spent
         now_s = trio.current_time()
-        for customer, (total, asked) in told.spent.items():
+        for customer, (total, demand) in aggregate.spent.items():
             limit = configuration.customers.get(customer)
             if limit is None or limit.rate <= 0:
                 continue
-            taken = total - self.totals.get(customer, 0.0)
-            taken -= own_taken.get(customer, 0.0)
-            asked -= own.get(customer, (0.0, 0.0))[1]
-            self.parts.quota.note_others(
-                limit, OTHERS, told.nodes - 1, max(0.0, taken), max(0.0, asked), now_s
+            acquired = total - self.counted_totals.get(customer, 0.0)
+            acquired -= own_acquired.get(customer, 0.0)
+            demand -= own.get(customer, (0.0, 0.0))[1]
+            self.components.quota.record_others(
+                limit,
+                OTHERS,
+                aggregate.nodes - 1,
+                max(0.0, acquired),
+                max(0.0, demand),
+                now_s,
             )
 
-    def take_loads(self, told: HubSum, now_s: float) -> None:
-        """Take over what the other gateways have in flight.
+    def apply_loads(self, aggregate: HubSum, now_s: float) -> None:
+        """Apply the requests that the other gateways have in flight.
 
-        Where they sent parts of prompts is not told: with two drawn engines to choose
-        from, it saved two of a thousand tokens and no waits (`make bench-peak`, four
-        runs each), and took 40 of 100 bytes of a sum.
+        Prefix locations are not reported through hubs: with a choice between two
+        sampled engines, they saved two of a thousand tokens and did not shorten waits
+        (`make bench-peak`, four runs each), but used 40 of 100 bytes of an aggregate.
         """
         counted = self.own.counted
         own = {} if counted is None else counted.loads
-        servers = self.parts.state.servers
+        servers = self.components.state.servers
         for state in servers.by_id.values():
-            requests, tokens = told.loads.get(state.told_as, (0, 0))
-            own_requests, own_tokens = own.get(state.told_as, (0, 0))
+            requests, tokens = aggregate.loads.get(state.incarnation_key, (0, 0))
+            own_requests, own_tokens = own.get(state.incarnation_key, (0, 0))
             load = PeerLoad(
                 max(0, requests - own_requests), max(0, tokens - own_tokens), now_s
             )
             state.peers = {OTHERS: load}
 
-    # As a hub.
+    # Role as a hub.
 
-    async def serve(self) -> None:
-        """Tell the other hubs this one's sum, and those that report here all sums."""
+    async def publish(self) -> None:
+        """Send this hub's aggregate to other hubs, and the total to reporting nodes."""
         now_s = trio.current_time()
-        members = int(self.nodes.value(now_s, FORGET_S))
-        self.book.assume_unheard(now_s, members)
-        here = self.book.here_sum(now_s, self.parts.clock.now())
-        region = self.book.region_sum(now_s, here)
-        self.book.forget(now_s)
-        here.counted = {}
-        zones = {node.zone for node in self.parts.peers.nodes()}
+        members = int(self.nodes.value(now_s, SOURCE_EXPIRY_S))
+        self.aggregator.estimate_silent_nodes(now_s, members)
+        local = self.aggregator.local_aggregate(now_s, self.components.clock.now())
+        region = self.aggregator.region_aggregate(now_s, local)
+        self.aggregator.remove_expired(now_s)
+        local.counted = {}
+        zones = {node.zone for node in self.components.peers.nodes()}
         relays = [name for zone in zones for name in self.relays(zone)]
-        await self.parts.peers.send_all(relays, here)
-        await self.parts.peers.send_all(list(region.counted), region)
-        if self.target() == self.parts.node.name:
-            self.take_region(region)
-        await self.pass_on_for_duties()
-
-    async def pass_on_for_duties(self) -> None:
-        """Pass on what the gateways that report here have told for duties."""
-        reports = self.book.take_for_duties()
+        await self.components.peers.send_all(relays, local)
+        await self.components.peers.send_all(list(region.counted), region)
+        if self.target() == self.components.node.name:
+            self.apply_region(region)
+        await self.forward_duty_reports()
+
+    async def forward_duty_reports(self) -> None:
+        """Forward the values for duties that gateways reported to this hub."""
+        reports = self.aggregator.pop_duty_reports()
         if not reports:
             return
-        names = self.with_duties()
-        await self.parts.peers.send_all(names, DutyReports(reports))
-        if self.parts.node.name in names:
-            self.exchange.take_for_duties(reports)
+        names = self.duty_nodes()
+        await self.components.peers.send_all(names, DutyReports(reports))
+        if self.components.node.name in names:
+            self.exchange.apply_duty_reports(reports)
 
-    async def tell_reporters(self, value: Message) -> None:
-        """Send a message to the gateways that report here."""
-        names = [r.node for r in self.book.fresh_reports(trio.current_time())]
-        await self.parts.peers.send_all(names, value)
+    async def send_to_reporters(self, value: Message) -> None:
+        """Send a message to the gateways that report to this hub."""
+        names = [r.node for r in self.aggregator.current_reports(trio.current_time())]
+        await self.components.peers.send_all(names, value)
 
     async def handle_report(self, report: HubReport, link: MessageLink) -> None:
-        """Count a gateway's report, and help it where it has lost the store."""
-        self.book.take_report(report, trio.current_time())
+        """Apply a gateway's report; help the gateway if the store is unreachable."""
+        self.aggregator.apply_report(report, trio.current_time())
         if report.lost:
             await self.exchange.offer(report, trio.current_time())
 
-    async def handle_sum(self, told: HubSum, link: MessageLink) -> None:
-        """Take over a sum."""
-        if told.is_region:
-            self.take_region(told)
+    async def handle_sum(self, aggregate: HubSum, link: MessageLink) -> None:
+        """Apply an aggregate of one hub or of all gateways."""
+        if aggregate.is_region:
+            self.apply_region(aggregate)
         else:
             now_s = trio.current_time()
-            self.book.take_sum(told, now_s)
-            self.parts.configurations.note_heard(told.version, told.hub, now_s)
+            self.aggregator.apply_aggregate(aggregate, now_s)
+            self.components.configurations.record_peer_version(
+                aggregate.version, aggregate.hub, now_s
+            )
 
-    async def handle_for_duties(self, told: DutyReports, link: MessageLink) -> None:
-        """Take over what duties need of a zone's gateways."""
-        self.exchange.take_for_duties(told.reports)
+    async def handle_duty_reports(
+        self, message: DutyReports, link: MessageLink
+    ) -> None:
+        """Apply the values for duties of a zone's gateways."""
+        self.exchange.apply_duty_reports(message.reports)
 
 
-def newest_of(told: HubSum) -> GatewayReport:
-    """Return what is newest among the gateways, as if one of them had told it."""
+def newest_state(aggregate: HubSum) -> GatewayReport:
+    """Return the newest state in an aggregate as the report of a single gateway."""
     return GatewayReport(
         node=OTHERS,
-        incarnation=told.incarnation,
+        incarnation=aggregate.incarnation,
         sequence=0,
-        clock_s=told.clock_s,
-        version=told.version,
-        seen=told.seen,
-        returned_ago_s=told.returned_ago_s,
+        clock_s=aggregate.clock_s,
+        version=aggregate.version,
+        seen=aggregate.seen,
+        returned_ago_s=aggregate.returned_ago_s,
     )
--- a/src/rosemaryknot/process/node.py
+++ b/src/rosemaryknot/process/node.py
@@ -16,11 +16,11 @@
 from rosemaryknot.connection.pages import Page, PageServer
 from rosemaryknot.process.attempt_budget import AttemptBudget
 from rosemaryknot.process.change_spread import ChangeSpread
-from rosemaryknot.process.duty_parts import DutyParts
-from rosemaryknot.process.exchange_parts import Demand, ExchangeParts
+from rosemaryknot.process.duty_components import DutyComponents
+from rosemaryknot.process.exchange_components import Demand, ExchangeComponents
 from rosemaryknot.process.gateway_configurations import GatewayConfigurations
 from rosemaryknot.process.gateway_exchange import GatewayExchange
-from rosemaryknot.process.gateway_quota import QuotaBook
+from rosemaryknot.process.gateway_quota import QuotaTracker
 from rosemaryknot.process.gateway_state import GatewayState
 from rosemaryknot.process.leases import Lease, lease_candidates
 from rosemaryknot.process.logs import logger
@@ -34,8 +34,8 @@
 from rosemaryknot.process.store_follower import StoreFollower
 from rosemaryknot.process.suspension import Suspension
 from rosemaryknot.process.true_time import TrueTime
-from rosemaryknot.process.usage_book import UsageBook
-from rosemaryknot.process.usage_duty import KEPT_NOTE, UsageDuty
+from rosemaryknot.process.usage_duty import STORED_USAGE_RECORD, UsageDuty
+from rosemaryknot.process.usage_tracker import UsageTracker
 from rosemaryknot.request.gateway import Gateway, GatewayComponents
 from rosemaryknot.values.duties import DutyCalls
 from rosemaryknot.values.gateway_answers import GatewayWire
@@ -137,8 +137,8 @@
         self.pool = ServerPool(network)
         self.demand = Demand()
         bounds = settings.bounds
-        self.quota = QuotaBook(bounds.limit_window_s, settings.is_first_start, rng)
-        self.usage = UsageBook(
+        self.quota = QuotaTracker(bounds.limit_window_s, settings.is_first_start, rng)
+        self.usage = UsageTracker(
             self.node.name, self.node.incarnation, bounds.usage_window_s
         )
         handlers = Handlers()
@@ -163,7 +163,7 @@
             self.peers, self.state, self.followers["configuration"], handlers
         )
         self.exchange = GatewayExchange(
-            ExchangeParts(
+            ExchangeComponents(
                 self.node,
                 self.peers,
                 self.state,
@@ -226,10 +226,10 @@
         """Return what requests are answered with."""
 
         def acquire_quota(limit: Any, units: float) -> float:
-            return self.quota.take(limit, units, trio.current_time())
+            return self.quota.acquire(limit, units, trio.current_time())
 
         def release_quota(limit: Any, units: float) -> None:
-            self.quota.give_back(limit, units, trio.current_time())
+            self.quota.release(limit, units, trio.current_time())
 
         return GatewayComponents(
             zone=self.settings.zone,
@@ -242,12 +242,12 @@
             acquire_quota=acquire_quota,
             release_quota=release_quota,
             explain_quota=self.quota.explain,
-            may_retry=lambda name: self.budget.take(name, trio.current_time()),
+            may_retry=lambda name: self.budget.acquire(name, trio.current_time()),
             record_request=lambda name: self.budget.record_request(
                 name, trio.current_time()
             ),
-            record_run=lambda name: self.usage.note(name, self.clock.now()),
-            record_work=self.demand.note,
+            record_run=lambda name: self.usage.record(name, self.clock.now()),
+            record_work=self.demand.record,
             stop=lambda: self.listener.state.stop,
             is_alone=self.is_alone_in_zone,
             rng=self.rng,
@@ -278,7 +278,7 @@
         # A deletion may be a lapse of an outage, or the word of leaving: it must be
         # heeded well before work has to have stopped.
         drained_s = bounds.drain_ms / 1000 * DRAIN_USED
-        self.state.servers.return_s = min(RETURN_S, drained_s)
+        self.state.servers.missing_timeout_s = min(RETURN_S, drained_s)
         self.lease.least_s = bounds.lease_ms / 1000
         self.lease.duration_s = LEASE_SHARE * bounds.lease_ms / 1000
         self.quota.window_s = bounds.limit_window_s
@@ -289,12 +289,12 @@
     def is_holder_heard(self, holder: str) -> bool:
         """Tell whether the node of a lease's holder was heard just now."""
         name = holder.partition("/")[0]
-        return any(r.node == name for r in self.exchange.fresh_reports())
+        return any(r.node == name for r in self.exchange.current_reports())
 
     def kept_usage(self, notes: dict[str, Any]) -> dict[str, Any]:
         """Return the usage that is kept in the store, with what stands there."""
-        self.usage.take_kept(notes.get(KEPT_NOTE, {}))
-        return {KEPT_NOTE: self.usage.kept(self.clock.now())}
+        self.usage.restore(notes.get(STORED_USAGE_RECORD, {}))
+        return {STORED_USAGE_RECORD: self.usage.to_store(self.clock.now())}
 
     def is_candidate(self) -> bool:
         """Tell whether this node should take the duties where nobody does them."""
@@ -330,7 +330,7 @@
         start_soon(self.configurations.run)
         start_soon(self.exchange.run)
         start_soon(self.exchange.run_loads)
-        start_soon(self.tidy)
+        start_soon(self.clean_up)
         if self.adapter.duties is not None:
             self.start_duties(nursery)
         log.info(
@@ -344,7 +344,7 @@
 
     def start_duties(self, nursery: trio.Nursery) -> None:
         """Start what is done under the lease."""
-        parts = DutyParts(
+        parts = DutyComponents(
             self.lease,
             self.adapter.duties,
             self.state,
@@ -381,14 +381,14 @@
         body, content_type = render_metrics()
         return Page(READY, body, content_type)
 
-    async def tidy(self) -> None:
+    async def clean_up(self) -> None:
         """Close what is idle or gone, for ever."""
         while True:
             await trio.sleep(TIDY_S)
-            for life in self.state.servers.take_replaced():
+            for life in self.state.servers.pop_replaced():
                 self.pool.note_over(life)
-            await self.pool.tidy()
-            for life in self.state.servers.tidy():
+            await self.pool.clean_up()
+            for life in self.state.servers.clean_up():
                 await self.pool.close_all(life)
 
     async def end(self) -> None:
--- a/src/rosemaryknot/process/peer.py
+++ b/src/rosemaryknot/process/peer.py
@@ -106,7 +106,7 @@
             recent, key=lambda end: (end.is_dialled == dials_first, end.link.opened_s)
         )
 
-    def tidy(self) -> int:
+    def clean_up(self) -> int:
         """Close what a usable link has replaced; return how many were silent.
 
         A silent link goes at once. A duplicate is closed by the end that dialled
--- a/src/rosemaryknot/process/peers.py
+++ b/src/rosemaryknot/process/peers.py
@@ -367,7 +367,7 @@
             if best is not None:
                 if best.link.age_s() > STABLE_S:
                     failures = 0
-                self.counters["links_replaced"] += peer.tidy()
+                self.counters["links_replaced"] += peer.clean_up()
                 if not self.wants_link(peer):
                     peer.close_unwanted()
                 await peer.wait(max(SHORTEST_S, SILENT_S - best.link.silence_s()))
--- a/src/rosemaryknot/process/prefix_estimate.py
+++ b/src/rosemaryknot/process/prefix_estimate.py
@@ -1,8 +1,9 @@
-"""An estimate of which prompt prefixes a backend server has cached.
+"""Estimate of the prompt prefixes that a backend server has cached.
 
-It is made of what we sent there ourselves, so it needs no cache events; those come
-late and with gaps. It is a hint: bounded, fading, and corrected by what the engine
-reports at the end of each answer.
+The estimate is computed from the prompts that this process has sent to the server. It
+does not depend on cache events, which arrive late and with gaps. It is a hint: it is
+bounded, decays with time, and is corrected by the cached tokens that the engine reports
+at the end of each response.
 """
 
 import math
@@ -15,14 +16,14 @@
 __all__ = ["PrefixEstimate", "prompt_blocks"]
 
 BLOCK_CHARS = 256
-MAX_BLOCKS = 512
+MAX_PROMPT_BLOCKS = 512
 MAX_ENTRIES = 4096
 HALF_LIFE_S = 120.0
-TRUST_STEP = 0.2
+ACCURACY_SMOOTHING = 0.2
 
 
 def prompt_blocks(texts: Iterable[str]) -> list[int]:
-    """Return the chained digests of a conversation's blocks.
+    """Return the chained digests of the blocks of a conversation.
 
     Parameters
     ----------
@@ -32,7 +33,7 @@
     Returns
     -------
     blocks : list of int
-        One for each full block; equal digests mean equal beginnings.
+        One for each full block; equal digests mean equal prefixes.
 
     Examples
     --------
@@ -43,24 +44,24 @@
     text = "\n".join(texts)
     blocks: list[int] = []
     digest = 0
-    stop = min(len(text) - BLOCK_CHARS + 1, MAX_BLOCKS * BLOCK_CHARS)
+    stop = min(len(text) - BLOCK_CHARS + 1, MAX_PROMPT_BLOCKS * BLOCK_CHARS)
     for start in range(0, stop, BLOCK_CHARS):
-        part = text[start : start + BLOCK_CHARS].encode("utf-8", "replace")
-        digest = xxhash.xxh64_intdigest(part, digest)
+        block = text[start : start + BLOCK_CHARS].encode("utf-8", "replace")
+        digest = xxhash.xxh64_intdigest(block, digest)
         blocks.append(digest)
     return blocks
 
 
 @dataclass(slots=True, frozen=True)
 class Guess:
-    """How much of a prompt is expected to be cached.
+    """Expected cached part of a prompt.
 
     Attributes
     ----------
     share : float
-        Share of the prompt's blocks, 0 to 1, already weighed by age and trust.
+        Share of the prompt's blocks, 0 to 1, weighted by age and accuracy.
     blocks : int
-        Number of leading blocks that we remember having sent.
+        Number of leading blocks that were sent to the server.
     """
 
     share: float
@@ -76,21 +77,21 @@
     Parameters
     ----------
     max_entries : int
-        Most blocks remembered; the least recently used go first.
+        Maximum number of blocks remembered; the least recently used are evicted first.
 
     Attributes
     ----------
-    trust : float
-        Moving average of the part of our guesses that came true, 0 to 1.
+    accuracy : float
+        Moving average of the confirmed share of the guesses, 0 to 1.
     """
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
         self.max_entries = max_entries
         self.used_s: OrderedDict[int, float] = OrderedDict()
-        self.trust = 1.0
+        self.accuracy = 1.0
 
-    def note_sent(self, blocks: list[int], now_s: float) -> None:
-        """Remember that a prompt was computed there."""
+    def record_sent(self, blocks: list[int], now_s: float) -> None:
+        """Record that a prompt was sent to the server."""
         for block in blocks:
             self.used_s[block] = now_s
             self.used_s.move_to_end(block)
@@ -98,14 +99,14 @@
             self.used_s.popitem(last=False)
 
     def guess(self, blocks: list[int], now_s: float) -> Guess:
-        """Return how much of a prompt is probably cached.
+        """Return the part of a prompt that is probably cached.
 
         Parameters
         ----------
         blocks : list of int
             From `prompt_blocks`.
         now_s : float
-            Now, in trio time.
+            Current trio time.
         """
         used = self.used_s
         if not blocks or blocks[0] not in used:
@@ -118,28 +119,28 @@
             count += 1
             if used[block] < oldest_s:
                 oldest_s = used[block]
-        fading = math.pow(0.5, (now_s - oldest_s) / HALF_LIFE_S)
-        return Guess(count / len(blocks) * fading * self.trust, count)
+        decay = math.pow(0.5, (now_s - oldest_s) / HALF_LIFE_S)
+        return Guess(count / len(blocks) * decay * self.accuracy, count)
 
     def confirm(self, blocks: list[int], guess: Guess, cached_share: float) -> None:
-        """Compare a guess with what the engine reported.
+        """Update the accuracy with the cached share that the engine reported.
 
         Parameters
         ----------
         blocks : list of int
             Blocks of the prompt.
         guess : Guess
-            What was guessed when it was sent.
+            The guess when the prompt was sent.
         cached_share : float
-            Share of the prompt that was cached, by the engine's report.
+            Share of the prompt that was cached according to the engine.
         """
         if not guess.blocks:
             return
         expected = guess.blocks / len(blocks)
-        came_true = min(1.0, cached_share / expected)
-        self.trust += TRUST_STEP * (came_true - self.trust)
+        confirmed = min(1.0, cached_share / expected)
+        self.accuracy += ACCURACY_SMOOTHING * (confirmed - self.accuracy)
 
     def forget(self) -> None:
-        """Forget all, as a restarted engine does."""
+        """Reset the estimate, for an engine that has restarted."""
         self.used_s.clear()
-        self.trust = 1.0
+        self.accuracy = 1.0
--- a/src/rosemaryknot/process/retry_budget.py
+++ b/src/rosemaryknot/process/retry_budget.py
@@ -1,49 +1,49 @@
-"""How many retries a service may get, as a share of what succeeds there."""
+"""Retry budget of a service, as a share of its successful requests."""
 
 __all__ = ["RetryBudget", "RetryBudgets"]
 
-SHARE_OF_SUCCESSES = 0.1
-MAX_SAVED = 10.0
+RETRIES_PER_SUCCESS = 0.1
+MAX_RETRIES = 10.0
 
 
 class RetryBudget:
-    """Retries that one service may still get.
+    """Token bucket of the retries for one service.
 
-    When a service fails as a whole, retries multiply its load and keep it down.
-    Each retry costs one unit and each success earns `SHARE_OF_SUCCESSES` of one, so
-    a failing service sees at most a tenth more than what callers send.
+    If a service fails as a whole, retries multiply its load and prevent its recovery.
+    Each retry costs one unit and each success adds `RETRIES_PER_SUCCESS` units, so the
+    load on a failing service exceeds that of the callers by at most a tenth.
 
     Attributes
     ----------
-    saved : float
-        Retries that may be made now.
+    available : float
+        Retries that are currently available.
 
     Examples
     --------
     >>> budget = RetryBudget()
-    >>> all(budget.take() for _ in range(10)), budget.take()
+    >>> all(budget.acquire() for _ in range(10)), budget.acquire()
     (True, False)
     """
 
-    __slots__ = ("saved",)
+    __slots__ = ("available",)
 
     def __init__(self) -> None:
-        self.saved = MAX_SAVED
+        self.available = MAX_RETRIES
 
-    def note_success(self) -> None:
-        """Count a request that succeeded."""
-        self.saved = min(MAX_SAVED, self.saved + SHARE_OF_SUCCESSES)
+    def record_success(self) -> None:
+        """Record a successful request."""
+        self.available = min(MAX_RETRIES, self.available + RETRIES_PER_SUCCESS)
 
-    def take(self) -> bool:
-        """Take one retry; False where none is left."""
-        if self.saved < 1:
+    def acquire(self) -> bool:
+        """Acquire one retry; return False if none is available."""
+        if self.available < 1:
             return False
-        self.saved -= 1
+        self.available -= 1
         return True
 
 
 class RetryBudgets:
-    """Budgets by service."""
+    """Retry budgets by service."""
 
     def __init__(self) -> None:
         self.by_service: dict[str, RetryBudget] = {}
--- a/src/rosemaryknot/process/server_load.py
+++ b/src/rosemaryknot/process/server_load.py
@@ -1,7 +1,7 @@
-"""What this process knows of each backend server's load.
+"""Load of each backend server, from its reports and from our own requests.
 
-The servers' own reports lag, and all entry instances read the same ones; so each
-corrects them by what it has itself sent and seen ended since.
+The reports of the servers lag, and all entry instances read the same ones. Each
+process therefore corrects them by the requests that it has started and ended since.
 """
 
 from collections import deque
@@ -19,23 +19,24 @@
 POLL_INTERVAL_S = 1.0
 POLL_TIMEOUT_S = 0.5
 REPORT_LAG_S = 0.25
-HISTORY = 64
+MAX_HISTORY = 64
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """A server's own report.
+    """Load report of a server.
 
     Attributes
     ----------
     running, waiting, slots : int
-        Requests in the batch, in the queue, and the batch's size.
+        Requests in the batch, requests in the queue, and the batch size.
     step_time_ms : float
-        Time of one step.
+        Duration of one engine step.
     free_kv_tokens : int
-        Room for KV cache, in tokens.
+        Free capacity of the KV cache, in tokens.
     received_s : float
-        When it came, in trio time; it is older than that by an unknown lag.
+        When the report was received, in trio time; it was made earlier by an unknown
+        lag.
     """
 
     running: int
@@ -48,61 +49,61 @@
 
 @dataclass(slots=True)
 class ServerLoad:
-    """Load of one server, as this process sees it.
+    """Load of one server as seen by this process.
 
     Attributes
     ----------
     report : LoadReport or None
-        The newest report.
+        The latest report.
     in_flight : int
-        Requests that this process has there now.
+        Requests of this process in flight at the server.
     in_flight_tokens : int
-        Prompt tokens of those that have not emitted a first token.
+        Prompt tokens of those requests that have not emitted a first token.
     history : deque of tuple of (float, int)
-        Times and counts of our own requests, by which a report is corrected.
+        Times and numbers of our own requests in flight, used to correct a report.
     prefixes : PrefixEstimate
-        What it has probably cached.
+        Prefixes that the server has probably cached.
     """
 
     report: LoadReport | None = None
     in_flight: int = 0
     in_flight_tokens: int = 0
     history: deque[tuple[float, int]] = field(
-        default_factory=lambda: deque(maxlen=HISTORY)
+        default_factory=lambda: deque(maxlen=MAX_HISTORY)
     )
     prefixes: PrefixEstimate = field(default_factory=PrefixEstimate)
 
     def began(self, prompt_tokens: int) -> None:
-        """Count a request that was sent there."""
+        """Record that a request was sent."""
         self.in_flight += 1
         self.in_flight_tokens += prompt_tokens
         self.history.append((trio.current_time(), self.in_flight))
 
     def prefilled(self, prompt_tokens: int) -> None:
-        """Count the first token of a request."""
+        """Record the first token of a request."""
         self.in_flight_tokens -= prompt_tokens
 
     def ended(self) -> None:
-        """Count a request that is no longer there."""
+        """Record that a request ended."""
         self.in_flight -= 1
         self.history.append((trio.current_time(), self.in_flight))
 
-    def in_flight_at(self, at_s: float) -> int:
-        """Return how many of our requests were there at a time."""
+    def in_flight_at(self, time_s: float) -> int:
+        """Return how many of our requests were in flight at a time."""
         count = 0
         for changed_s, in_flight in self.history:
-            if changed_s > at_s:
+            if changed_s > time_s:
                 break
             count = in_flight
         return count
 
-    def requests_now(self) -> float:
-        """Return the requests there, by the report and by what we know since."""
+    def current_requests(self) -> float:
+        """Return the estimated requests at the server: the report plus our changes."""
         if self.report is None:
             return float(self.in_flight)
-        seen = self.in_flight_at(self.report.received_s - REPORT_LAG_S)
+        own_reported = self.in_flight_at(self.report.received_s - REPORT_LAG_S)
         reported = self.report.running + self.report.waiting
-        return float(max(reported + self.in_flight - seen, self.in_flight, 0))
+        return float(max(reported + self.in_flight - own_reported, self.in_flight, 0))
 
 
 class LoadTable:
@@ -111,21 +112,21 @@
     Attributes
     ----------
     loads : dict of str to ServerLoad
-        By the instance's name.
+        Load by name of the instance.
     """
 
     def __init__(self) -> None:
         self.loads: dict[str, ServerLoad] = {}
 
     def of(self, server: BackendServer) -> ServerLoad:
-        """Return the load of a server; empty where nothing is known."""
+        """Return the load of a server; an empty one if nothing is known."""
         load = self.loads.get(server.instance)
         if load is None:
             load = self.loads[server.instance] = ServerLoad()
         return load
 
     def keep_only(self, instances: set[str]) -> None:
-        """Drop what is known of servers that are gone and have no work of ours."""
+        """Drop removed servers that have none of our requests in flight."""
         for instance in list(self.loads):
             if instance not in instances and not self.loads[instance].in_flight:
                 del self.loads[instance]
@@ -136,29 +137,29 @@
         servers: Callable[[], Iterable[BackendServer]],
         interval_s: float = POLL_INTERVAL_S,
     ) -> None:
-        """Read the servers' reports until cancelled.
+        """Poll the servers' reports until cancelled.
 
         Parameters
         ----------
         client : httpx.AsyncClient
-            Makes the calls.
+            Client for the requests.
         servers : callable
-            Returns the servers to ask in this round.
+            Returns the servers to poll in each round.
         interval_s : float
             Time between two rounds, in seconds.
         """
         while True:
-            asked = list(servers())
-            self.keep_only({server.instance for server in asked})
+            polled = list(servers())
+            self.keep_only({server.instance for server in polled})
             async with trio.open_nursery() as nursery:
-                for server in asked:
-                    nursery.start_soon(self.read_report, client, server)
+                for server in polled:
+                    nursery.start_soon(self.fetch_report, client, server)
             await trio.sleep(interval_s)
 
-    async def read_report(
+    async def fetch_report(
         self, client: httpx.AsyncClient, server: BackendServer
     ) -> None:
-        """Read one report; a server that does not answer keeps its last one."""
+        """Fetch one report; keep the previous one if the server does not respond."""
         with trio.move_on_after(POLL_TIMEOUT_S):
             try:
                 response = await client.get(f"http://{server.address}/load")
--- a/src/rosemaryknot/process/server_marks.py
+++ b/src/rosemaryknot/process/server_marks.py
@@ -1,4 +1,4 @@
-"""Marks of instances that are leaving or terminated, which are never taken back."""
+"""Irreversible marks for instances that are draining or terminated."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 __all__ = ["Mark", "ServerMarks"]
 
-FORGET_S = 600.0
+MARK_TTL_S = 600.0
 STATE_ORDER = {ServerState.LIVE: 0, ServerState.LEAVING: 1, ServerState.TERMINATED: 2}
 
 log = logger("servers")
@@ -18,18 +18,18 @@
 
 @dataclass(slots=True)
 class Mark:
-    """What is known of an instance for good.
+    """Irreversible mark of an instance.
 
     Attributes
     ----------
     state : ServerState
-        Leaving or terminated; only goes on, never back.
+        ``LEAVING`` or ``TERMINATED``; it only advances.
     deadline_unix_s : float
-        When it is taken away; 0 where not known.
+        When the instance is reclaimed; 0 if not known.
     source : str
-        Who told first.
+        Source of the first report.
     seen_s : float
-        When the platform or the server last spoke of the instance, in trio time.
+        When the platform or the server last reported the instance, in trio time.
     """
 
     state: ServerState
@@ -43,9 +43,9 @@
 
     Parameters
     ----------
-    forget_s : float
-        How long a mark outlives the last word about its instance, in seconds; far
-        longer than any list lags.
+    ttl_s : float
+        How long a mark is retained after the last report of its instance, in seconds;
+        far longer than the lag of any list.
 
     Attributes
     ----------
@@ -53,8 +53,8 @@
         All marks.
     """
 
-    def __init__(self, forget_s: float = FORGET_S) -> None:
-        self.forget_s = forget_s
+    def __init__(self, ttl_s: float = MARK_TTL_S) -> None:
+        self.ttl_s = ttl_s
         self.by_instance: dict[str, Mark] = {}
 
     def get(self, instance: str) -> Mark | None:
@@ -74,14 +74,14 @@
         Parameters
         ----------
         instance, state, deadline_unix_s, source, seen_s
-            See `Mark`.
+            Attributes of the `Mark`.
 
         Returns
         -------
         is_new : bool
-            Whether the mark, a further state or an earlier deadline is new.
+            Whether the mark, its state or an earlier deadline is new.
         """
-        if trio.current_time() - seen_s >= self.forget_s:
+        if trio.current_time() - seen_s >= self.ttl_s:
             return False
         mark = self.by_instance.get(instance)
         if mark is None:
@@ -99,22 +99,22 @@
             is_new = True
         return is_new
 
-    def forget(self, known: dict) -> None:
-        """Forget old marks of instances that are not among the known ones.
+    def remove_expired(self, known: dict) -> None:
+        """Remove expired marks of instances that are not among the known ones.
 
-        Without a bound the table grows with every reclaim for as long as the
-        process lives.
+        Otherwise the table would grow with every reclaim for the lifetime of the
+        process.
         """
         now_s = trio.current_time()
         for name, mark in list(self.by_instance.items()):
-            if now_s - mark.seen_s >= self.forget_s and name not in known:
+            if now_s - mark.seen_s >= self.ttl_s and name not in known:
                 del self.by_instance[name]
 
     def messages(self) -> list[LeavingMark]:
         """Return all marks as messages.
 
-        Terminated instances are among them: to a peer whose list lags they may
-        still look live.
+        Terminated instances are included: in the list of a peer that lags they may
+        still appear live.
         """
         now_s = trio.current_time()
         return [
--- a/src/rosemaryknot/process/server_state.py
+++ b/src/rosemaryknot/process/server_state.py
@@ -1,4 +1,4 @@
-"""What a node believes of one life of a backend server."""
+"""State that a node keeps for one incarnation of a backend server."""
 
 import math
 from dataclasses import dataclass, field
@@ -11,114 +11,116 @@
 
 @dataclass(slots=True)
 class PeerLoad:
-    """What another node has in flight at a server.
+    """Load that another node has in flight at a server.
 
     Attributes
     ----------
     requests : int
         Requests in flight.
     tokens : int
-        Prompt tokens that are not read yet.
-    at_s : float
-        When it was told, in trio time.
+        Prompt tokens whose prefill has not finished.
+    reported_s : float
+        When the report was received, in trio time.
     """
 
     requests: int
     tokens: int
-    at_s: float
+    reported_s: float
 
 
 @dataclass(slots=True, eq=False)
 class ServerState:
-    """One life of a backend server as this node sees it.
+    """One incarnation of a backend server as seen by this node.
 
-    All that is believed of a server is held here or by this object, so a life that
-    begins anew begins without it, and late words of the one before change nothing.
+    Everything this node knows about a server is stored here or keyed by this object.
+    A new incarnation therefore starts without the history of the previous one, and
+    late messages about the previous incarnation have no effect on it.
 
     Attributes
     ----------
     entry : RoutedServer
-        As the store tells; always of this life.
-    known_s : float
-        Since when this life is known, in trio time.
-    entry_s : float
-        When its entry was last taken over, in trio time.
-    told_as : str
-        How nodes name this life to each other.
+        Latest entry from the store; always of this incarnation.
+    first_seen_s : float
+        When this incarnation was first seen, in trio time.
+    entry_updated_s : float
+        When an entry was last applied, in trio time.
+    incarnation_key : str
+        Text form of the incarnation in messages between nodes.
     in_flight : int
         Requests of this node.
-    waiting_tokens : int
+    pending_prefill_tokens : int
         Prompt tokens of this node's requests that have no first event yet.
     failure_share : float
         Smoothed share of attempts that failed, 0 to 1.
     failures : int
-        Failures in a row.
-    avoid_until_s : float
-        No work before, unless nothing else is left.
-    heard_s : float
-        When the last bytes came.
-    waiting_since_s : float
-        Since when it owes bytes.
+        Consecutive failures.
+    backoff_until_s : float
+        End of the backoff after a failure, in trio time. Until then the server is
+        used only if no other is left.
+    last_received_s : float
+        When the last bytes were received, in trio time.
+    busy_since_s : float
+        When the number of requests in flight last rose from zero, in trio time.
     peers : dict of str to PeerLoad
-        By node.
-    has_drained : bool
-        Whether it said that it leaves; never taken back.
-    is_gone : bool
-        Whether its entry is gone for good, as far as is known.
-    gone_at_s : float
-        When it counts as gone, since its entry is missing although it never said
-        that it leaves; infinite while there is one.
+        Load of the other nodes, by node.
+    has_announced_drain : bool
+        Whether the server has announced that it is draining; never reset.
+    is_removed : bool
+        Whether the entry was removed and is not expected to return.
+    removal_deadline_s : float
+        When the server is treated as removed because its entry is missing although
+        it never announced a drain, in trio time; infinite while there is an entry.
     """
 
     entry: RoutedServer
-    known_s: float = 0.0
-    entry_s: float = 0.0
+    first_seen_s: float = 0.0
+    entry_updated_s: float = 0.0
     in_flight: int = 0
-    waiting_tokens: int = 0
+    pending_prefill_tokens: int = 0
     failure_share: float = 0.0
     failures: int = 0
-    avoid_until_s: float = 0.0
-    heard_s: float = float("-inf")
-    waiting_since_s: float = 0.0
+    backoff_until_s: float = 0.0
+    last_received_s: float = float("-inf")
+    busy_since_s: float = 0.0
     peers: dict[str, PeerLoad] = field(default_factory=dict)
-    has_drained: bool = False
-    is_gone: bool = False
-    gone_at_s: float = math.inf
-    told_as: str = field(init=False)
+    has_announced_drain: bool = False
+    is_removed: bool = False
+    removal_deadline_s: float = math.inf
+    incarnation_key: str = field(init=False)
 
     def __post_init__(self) -> None:
-        self.told_as = self.incarnation.to_text()
+        self.incarnation_key = self.incarnation.to_text()
 
     @property
     def incarnation(self) -> ServerIncarnation:
-        """Which life of the server this is."""
+        """Incarnation of the server that this state belongs to."""
         return self.entry.incarnation
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it takes no new work."""
-        return self.has_drained or self.is_gone
+        """Whether the server accepts no new requests."""
+        return self.has_announced_drain or self.is_removed
 
     @property
     def is_missing(self) -> bool:
-        """Whether its entry is missing and it may yet come back."""
-        return self.gone_at_s < math.inf
+        """Whether the entry is missing and may still return."""
+        return self.removal_deadline_s < math.inf
 
-    def takes_work(self, now_s: float) -> bool:
-        """Tell whether it may get new work, as far as is known."""
-        return not self.is_leaving and now_s < self.gone_at_s
+    def accepts_requests(self, now_s: float) -> bool:
+        """Return whether the server may get new requests."""
+        return not self.is_leaving and now_s < self.removal_deadline_s
 
     def load(self) -> tuple[int, int]:
-        """Return requests and unread prompt tokens of all nodes."""
+        """Return the requests and pending prefill tokens of all nodes."""
         requests = self.in_flight
-        tokens = self.waiting_tokens
+        tokens = self.pending_prefill_tokens
         for peer in self.peers.values():
             requests += peer.requests
             tokens += peer.tokens
         return requests, tokens
 
-    def is_silent(self, now_s: float, limit_s: float) -> bool:
-        """Tell whether it owes bytes and has sent none for too long."""
+    def is_silent(self, now_s: float, timeout_s: float) -> bool:
+        """Return whether responses are pending and no bytes came within a timeout."""
         if not self.in_flight:
             return False
-        return now_s - max(self.heard_s, self.waiting_since_s) > limit_s
+        return now_s - max(self.last_received_s, self.busy_since_s) > timeout_s
--- a/src/rosemaryknot/process/servers.py
+++ b/src/rosemaryknot/process/servers.py
@@ -1,4 +1,4 @@
-"""Table of backend servers: the newest of list, notices, peers and their own word."""
+"""Table of backend servers, merged from lists, notices, peers and servers."""
 
 from dataclasses import replace
 
@@ -17,50 +17,50 @@
 
 __all__ = ["ServerTable"]
 
-ABSENT_S = 6.0
+ABSENCE_TIMEOUT_S = 6.0
 MAX_AGE_S = 1e9
 
 log = logger("servers")
 
 
 class ServerTable:
-    """What this process knows of all backend servers.
+    """State of all backend servers as seen by this process.
 
     Parameters
     ----------
     safeguards : Safeguards, optional
-        Which safeguards are on; all outside of tests.
-    absent_s : float
+        Enabled safeguards; all are enabled outside of tests.
+    absence_timeout_s : float
         How long a server may be missing from the lists before it is dropped, in
         seconds.
     marks : ServerMarks, optional
-        What is known for good.
+        Irreversible marks of instances.
 
     Attributes
     ----------
     servers : dict of str to BackendServer
-        By instance.
+        Servers by instance.
     marks : ServerMarks
-        Instances that are leaving or terminated.
+        Marks of instances that are draining or terminated.
     revision : int
-        Rises with each change.
+        Number that increases with each change.
     seen_s : dict of str to float
-        When a list last named each server, in trio time.
+        When each server was last included in a list, in trio time.
     absent_since_s : dict of str to float
-        When a list first left each absent server out, in trio time.
+        When a list first omitted each absent server, in trio time.
     listed_s : float
-        When the newest list was read, here or elsewhere, in trio time; minus
+        When the latest list was read, by this or another process, in trio time; minus
         infinity before the first.
     """
 
     def __init__(
         self,
         safeguards: Safeguards | None = None,
-        absent_s: float = ABSENT_S,
+        absence_timeout_s: float = ABSENCE_TIMEOUT_S,
         marks: ServerMarks | None = None,
     ) -> None:
         self.safeguards = Safeguards() if safeguards is None else safeguards
-        self.absent_s = absent_s
+        self.absence_timeout_s = absence_timeout_s
         self.servers: dict[str, BackendServer] = {}
         self.seen_s: dict[str, float] = {}
         self.absent_since_s: dict[str, float] = {}
@@ -75,18 +75,18 @@
         return self.servers.get(instance)
 
     def servers_of(self, service: str) -> list[BackendServer]:
-        """Return the servers of a service that may get new work.
+        """Return the servers of a service that may get new requests.
 
         Returns
         -------
         servers : list of BackendServer
-            Live ones, in order of name. Shared with other callers of the same
-            revision: not to be changed.
+            Live servers in order of name. The list is shared with other callers of the
+            same revision and must not be modified.
         """
         return self.by_service.get(service, [])
 
     def leaving_of(self, service: str) -> list[BackendServer]:
-        """Return the servers of a service that are leaving."""
+        """Return the servers of a service that are draining."""
         return [
             server
             for server in self.servers.values()
@@ -94,11 +94,11 @@
         ]
 
     def leaving_marks(self) -> list[LeavingMark]:
-        """Return all marks, for a peer whose link is new."""
+        """Return all marks as messages, for a newly connected peer."""
         return self.marks.messages()
 
     def apply_list(self, servers: list[BackendServer]) -> None:
-        """Take over an instance list that was read just now, and may lag.
+        """Apply an instance list that was just read; its content may lag.
 
         Parameters
         ----------
@@ -106,8 +106,8 @@
             All instances of all services.
         """
         now_s = trio.current_time()
-        # A platform in trouble may list nothing at all. That is no proof that
-        # every server is gone, and one that is refuses the connection.
+        # A failing platform may return an empty list. This does not prove that every
+        # server was terminated, and a terminated server refuses the connection.
         listed_s = now_s if servers else self.listed_s
         self.apply_seen([(server, now_s) for server in servers], listed_s)
 
@@ -123,15 +123,15 @@
         )
 
     def apply_push(self, push: ServersPush) -> None:
-        """Take over what another process knows.
+        """Apply the table of another process.
 
-        Ages are taken over too. Two processes that each counted a push as a fresh
-        list would name a server that is gone to each other for ever.
+        The ages are applied too. Two processes that each treated a push as a current
+        list would report a terminated server to each other indefinitely.
 
         Parameters
         ----------
         push : ServersPush
-            Made by `to_push` of the other process.
+            Result of `to_push` in the other process.
         """
         now_s = trio.current_time()
         servers = [server_from_dict(server) for server in push.servers]
@@ -145,18 +145,18 @@
     def apply_seen(
         self, seen: list[tuple[BackendServer, float]], listed_s: float
     ) -> None:
-        """Take over servers with the time at which a list last named each."""
+        """Apply servers with the times at which a list last included them."""
         changed = False
         self.listed_s = listed_s
         for server, seen_s in seen:
             changed |= self.apply(server, seen_s)
         changed |= self.drop_absent()
-        self.marks.forget(self.servers)
+        self.marks.remove_expired(self.servers)
         if changed:
-            self.tell()
+            self.notify()
 
     def apply(self, server: BackendServer, seen_s: float) -> bool:
-        """Take over one server; tell whether anything changed."""
+        """Apply one server; return whether anything changed."""
         name = server.instance
         changed = False
         state = ServerState(server.state)
@@ -164,8 +164,9 @@
             deadline_unix_s = server.deadline_unix_s
             changed = self.marks.set(name, state, deadline_unix_s, "list", seen_s)
         known = self.servers.get(name)
-        if known is None and self.listed_s - seen_s >= self.absent_s:
-            # We have dropped it; the sender, who heard of it from us, has not yet.
+        if known is None and self.listed_s - seen_s >= self.absence_timeout_s:
+            # This process has already dropped the server; the sender, which learned of
+            # it from this process, has not.
             return changed
         if known is not None and seen_s < self.seen_s[name]:
             server = known
@@ -177,12 +178,12 @@
         return True
 
     def merged(self, server: BackendServer) -> BackendServer:
-        """Return a listed server with what its mark says.
+        """Return a listed server with its mark applied.
 
-        The list lags: for seconds after a notice it still calls the instance live,
-        and new work would go to a machine that is about to vanish. A mark is never
-        taken back. That is enough, as an instance that leaves never returns: a
-        restarted server is a new instance with another name.
+        The list lags: for seconds after a notice it still reports the instance as live,
+        and new requests would be sent to a machine that is about to be reclaimed. A
+        mark is never reverted. This is sufficient because a draining instance never
+        returns: a restarted server is a new instance with another name.
         """
         mark = self.marks.get(server.instance)
         if mark is None or not self.safeguards.leaving_mark:
@@ -191,30 +192,30 @@
         return replace(server, state=mark.state, deadline_unix_s=deadline_unix_s)
 
     def mark_leaving(self, instance: str, deadline_unix_s: float, source: str) -> bool:
-        """Mark an instance as leaving, for good.
+        """Mark an instance as draining; the mark is irreversible.
 
         Parameters
         ----------
         instance : str
-            The platform's name; need not be in the table yet.
+            Name of the instance on the platform; need not be in the table yet.
         deadline_unix_s : float
-            When it is taken away, as seconds of the epoch; 0 where not known.
+            When the instance is reclaimed, in seconds since the epoch; 0 if not known.
         source : str
             ``notice``, ``list``, ``peer`` or ``server``.
 
         Returns
         -------
         is_new : bool
-            Whether the mark, or an earlier deadline, is new: peers should be told.
+            Whether the mark or an earlier deadline is new and should be sent to peers.
         """
         return self.mark(instance, ServerState.LEAVING, deadline_unix_s, source)
 
     def mark_terminated(self, instance: str, source: str) -> bool:
-        """Mark an instance as terminated, for good; see `mark_leaving`."""
+        """Mark an instance as terminated; see `mark_leaving`."""
         return self.mark(instance, ServerState.TERMINATED, 0.0, source)
 
     def apply_mark(self, mark: LeavingMark) -> bool:
-        """Take over a mark of another process; see `mark_leaving`."""
+        """Apply a mark from another process; see `mark_leaving`."""
         return self.mark(
             mark.instance,
             ServerState.LEAVING,
@@ -231,7 +232,7 @@
         source: str,
         age_s: float = 0.0,
     ) -> bool:
-        """Set or advance a mark and wake those who wait for changes."""
+        """Set or advance a mark and notify tasks that wait for changes."""
         seen_s = trio.current_time() - age_s
         is_new = self.marks.set(instance, state, deadline_unix_s, source, seen_s)
         if not is_new:
@@ -239,15 +240,15 @@
         server = self.servers.get(instance)
         if server is not None:
             self.servers[instance] = self.merged(server)
-        self.tell()
+        self.notify()
         return True
 
     def drop_absent(self) -> bool:
-        """Drop servers that have been missing from the lists for `absent_s`.
+        """Drop servers that have been missing from the lists for `absence_timeout_s`.
 
-        Time without any list does not count: in a platform outage the old servers
-        are better than none. Nor does one list that lags more than the last: the
-        absence is counted from the first list that left the server out.
+        Time without any list does not count: in a platform outage the old servers are
+        better than none. A single list that lags more than the previous one does not
+        count either: the absence starts with the first list that omitted the server.
         """
         dropped = False
         for name in list(self.servers):
@@ -257,26 +258,26 @@
             since_s = self.absent_since_s.setdefault(name, self.listed_s)
             if self.seen_s[name] >= since_s:
                 self.absent_since_s[name] = since_s = self.listed_s
-            if self.listed_s - since_s >= self.absent_s:
+            if self.listed_s - since_s >= self.absence_timeout_s:
                 self.drop(name)
                 dropped = True
         return dropped
 
     def drop(self, name: str) -> None:
-        """Drop a server that is gone."""
+        """Drop a server from the table."""
         for table in (self.servers, self.seen_s, self.absent_since_s):
             table.pop(name, None)
-        log.info(f"{name} is gone from the list", instance=name)
+        log.info(f"{name} dropped: missing from the instance list", instance=name)
 
-    def tell(self) -> None:
-        """Raise the revision and wake those who wait."""
+    def notify(self) -> None:
+        """Increment the revision and notify waiting tasks."""
         self.revision += 1
         self.by_service = self.live_by_service()
         changed, self.changed = self.changed, trio.Event()
         changed.set()
 
     def live_by_service(self) -> dict[str, list[BackendServer]]:
-        """Return the live servers in order of name, by service."""
+        """Return the live servers by service, in order of name."""
         by_service: dict[str, list[BackendServer]] = {}
         for instance in sorted(self.servers):
             server = self.servers[instance]
@@ -285,17 +286,17 @@
         return by_service
 
     async def wait_changed(self, after: int) -> int:
-        """Wait until the revision is higher than one that the caller knows.
+        """Wait until the revision is higher than a known one.
 
         Parameters
         ----------
         after : int
-            Revision that the caller knows.
+            Revision known to the caller.
 
         Returns
         -------
         revision : int
-            The current one.
+            Current revision.
         """
         while self.revision <= after:
             await self.changed.wait()
--- a/src/rosemaryknot/process/store_follower.py
+++ b/src/rosemaryknot/process/store_follower.py
@@ -152,7 +152,7 @@
             # Changes that a slow link did not bring within the call's bound only
             # become more; a list does not.
             self.lists_next = self.is_single and outcome.reason == TIMEOUT
-            await self.note_failure(outcome)
+            await self.record_failure(outcome)
         elif isinstance(outcome, HistoryGone):
             log.info("history gone, listing again", kind=self.kind)
             await self.list_all()
@@ -161,7 +161,7 @@
 
     def take_changes(self, changes: Changes) -> None:
         """Take over what the store tells."""
-        self.note_success()
+        self.record_success()
         before = self.revision
         self.apply(changes)
         if changes.events:
@@ -208,9 +208,9 @@
         """Take over a list."""
         listed = await self.store.list_objects(self.kind)
         if isinstance(listed, PlatformFailed):
-            await self.note_failure(listed)
+            await self.record_failure(listed)
             return
-        self.note_success()
+        self.record_success()
         self.lists_next = False
         if listed.version < self.revision:
             log.warning("older list left alone", kind=self.kind, at=listed.version)
@@ -225,14 +225,14 @@
         """Tell whether the store does not answer at the moment."""
         return self.failures > 0 or self.revision < 0
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Count an answer."""
         CALLS.add(kind=self.kind, outcome="ok")
         if self.failures:
             log.info("store regained", kind=self.kind, failures=self.failures)
             self.failures = 0
 
-    async def note_failure(self, failed: PlatformFailed) -> None:
+    async def record_failure(self, failed: PlatformFailed) -> None:
         """Count a failure and wait a little."""
         CALLS.add(kind=self.kind, outcome=failed.reason)
         self.failures += 1
--- a/src/rosemaryknot/process/true_time.py
+++ b/src/rosemaryknot/process/true_time.py
@@ -40,7 +40,7 @@
         self.first = wall() - running()
         self.peers: dict[str, tuple[float, float]] = {}
 
-    def note_peer(self, node: str, clock_s: float) -> None:
+    def record_peer(self, node: str, clock_s: float) -> None:
         """Take note of another machine's time of day, just heard."""
         now = self.running()
         self.peers[node] = (clock_s - now, now)
--- a/src/rosemaryknot/process/usage_duty.py
+++ b/src/rosemaryknot/process/usage_duty.py
@@ -1,41 +1,52 @@
-"""Telling the platform each customer's usage, under the lease of the duties."""
+"""Duty that reports each customer's usage to the platform.
+
+A duty is a task that only the holder of a lease performs.
+"""
 
 from dataclasses import dataclass
 
 import trio
 
-from rosemaryknot.process.duty_parts import CALLS, RETRY_S, STEP_S, DutyParts
+from rosemaryknot.process.duty_components import (
+    DUTY_CALLS,
+    RETRY_DELAY_S,
+    STEP_INTERVAL_S,
+    DutyComponents,
+)
 from rosemaryknot.process.logs import logger
-from rosemaryknot.process.usage_book import counts_of
+from rosemaryknot.process.usage_tracker import counts_of
 from rosemaryknot.values.duties import DutyDone, DutyRefused
 
-__all__ = ["KEPT_NOTE", "UsageDuty"]
-
-# At least so long after the end of a window, for gateways that are just met.
-SETTLE_S = 2.0
-# Of the time after which usage is due: so long a window waits for gateways that have
-# not told their counts. What is left is for two calls that take two seconds each.
-WAITED_SHARE = 0.5
-# A window that could not be told for this long counts as lost; the next ones go on.
+__all__ = ["STORED_USAGE_RECORD", "UsageDuty"]
+
+# Minimum time between the end of a window and its report, for gateways whose links are
+# only just established.
+MIN_SETTLE_S = 2.0
+# Maximum time that a window waits for gateways that have not reported their counts, as
+# a share of the time after which usage is due. The remaining time is for two calls that
+# take two seconds each.
+MAX_WAIT_SHARE = 0.5
+# A window that could not be reported for this many windows is abandoned, and reporting
+# continues with later ones.
 GIVE_UP_WINDOWS = 8
-USAGE_NOTE = "usage"
-# Characters of an unreadable note in a log line.
-MAX_SHOWN = 80
-KEPT_NOTE = "usage_kept"
+USAGE_RECORD = "usage"
+# Maximum number of characters of an invalid record in a log line.
+MAX_LOGGED_CHARS = 80
+STORED_USAGE_RECORD = "usage_kept"
 
 log = logger("duties")
 
 
 @dataclass(slots=True)
-class UsageNote:
-    """A window's counts as a holder has left them to the next.
+class UsageRecord:
+    """A window's counts as recorded in the store for the next holder of the lease.
 
     Attributes
     ----------
     window : int
         Number of the window.
     counts : dict of str to int
-        By customer.
+        Counts by customer.
     """
 
     window: int
@@ -43,97 +54,112 @@
 
 
 class UsageDuty:
-    """Tells the usage of each window once, and always with the same counts.
+    """Reporter of the usage of each window, once and always with the same counts.
 
     Parameters
     ----------
-    parts : DutyParts
-        What it works with.
+    components : DutyComponents
+        Components that the duty uses.
     delay_s : float
-        When the usage of a window is due after its end, in seconds.
+        Time after the end of a window at which its usage is due, in seconds.
+
+    Attributes
+    ----------
+    started_window : int
+        Window in which this node started.
+    done : int or None
+        Last window that was reported or abandoned.
+    retry_s : float
+        Time before which no further step is performed.
     """
 
-    def __init__(self, parts: DutyParts, delay_s: float) -> None:
-        self.parts = parts
+    def __init__(self, components: DutyComponents, delay_s: float) -> None:
+        self.components = components
         self.delay_s = delay_s
-        self.started_window = parts.usage.window_of(parts.clock.now())
+        self.started_window = components.usage.window_of(components.clock.now())
         self.done: int | None = None
         self.retry_s = 0.0
 
     async def run(self) -> None:
-        """Do the duty while the lease is held, until cancelled."""
+        """Perform the duty while the lease is held, until cancelled."""
         while True:
-            await trio.sleep(STEP_S)
-            if self.parts.lease.is_held() and trio.current_time() >= self.retry_s:
+            await trio.sleep(STEP_INTERVAL_S)
+            if self.components.lease.is_held() and trio.current_time() >= self.retry_s:
                 await self.step()
 
     async def step(self) -> None:
-        """Tell the oldest window that is over and not told."""
-        parts = self.parts
-        noted = self.noted()
-        if noted is not None and self.done != noted.window:
-            # The holder before may have sent these counts without seeing an answer;
-            # other counts for the same window would be a second report.
-            await self.send(noted.window, noted.counts)
+        """Report the oldest window that has ended and is not reported."""
+        components = self.components
+        recorded = self.recorded()
+        if recorded is not None and self.done != recorded.window:
+            # The previous holder may have sent these counts without receiving a
+            # response. Different counts for the same window would be a second report.
+            await self.send(recorded.window, recorded.counts)
             return
-        if noted is not None:
-            last = noted.window
+        if recorded is not None:
+            last = recorded.window
         else:
             last = self.started_window - 1 if self.done is None else self.done
         window = last + 1
-        now_s = parts.clock.now()
-        current = parts.usage.window_of(now_s)
+        now_s = components.clock.now()
+        current = components.usage.window_of(now_s)
         if current - window > GIVE_UP_WINDOWS:
             window = current - GIVE_UP_WINDOWS
         elif not self.is_settled(window, now_s):
             return
-        configuration = parts.state.configuration
+        configuration = components.state.configuration
         if configuration is None:
             return
-        counts = parts.usage.total(window, configuration.customers)
-        note = {"window": window, "counts": counts}
-        if await parts.lease.note(USAGE_NOTE, note):
+        counts = components.usage.total(window, configuration.customers)
+        record = {"window": window, "counts": counts}
+        if await components.lease.note(USAGE_RECORD, record):
             await self.send(window, counts)
 
     def is_settled(self, window: int, now_s: float) -> bool:
-        """Tell whether a window may be told: all have counted it, or it is due soon.
+        """Return whether a window may be reported.
 
-        It is told once and for all, so a gateway whose reports are late, as under
-        load, would be left out of it for good.
+        This is the case if all gateways have reported their counts or the window is
+        due soon. A window is reported only once, so counts of a gateway whose reports
+        are late, for example under load, would be missing permanently.
         """
-        ended_s = (window + 1) * self.parts.usage.window_s
-        if now_s < ended_s + SETTLE_S:
+        ended_s = (window + 1) * self.components.usage.window_s
+        if now_s < ended_s + MIN_SETTLE_S:
             return False
-        waiting = self.parts.exchange.uncounted(ended_s)
+        waiting = self.components.exchange.nodes_missing_counts(ended_s)
         if not waiting:
             return True
-        if now_s < ended_s + self.delay_s * WAITED_SHARE:
+        if now_s < ended_s + self.delay_s * MAX_WAIT_SHARE:
             return False
-        log.warning("usage told without some", window=window, missing=len(waiting))
+        log.warning(
+            "reporting usage without some gateways", window=window, missing=len(waiting)
+        )
         return True
 
-    def noted(self) -> "UsageNote | None":
-        """Return the last window that a holder has written down, None without one."""
-        value = self.parts.lease.notes.get(USAGE_NOTE)
+    def recorded(self) -> "UsageRecord | None":
+        """Return the last window that a holder has recorded, or None without one."""
+        value = self.components.lease.notes.get(USAGE_RECORD)
         if value is None:
             return None
         try:
-            return UsageNote(int(value["window"]), counts_of(value["counts"]))
+            return UsageRecord(int(value["window"]), counts_of(value["counts"]))
         except (KeyError, TypeError, ValueError, OverflowError):
-            # Another writer's; an error here would end the node with the duty.
-            log.warning("usage note cannot be read", note=str(value)[:MAX_SHOWN])
+            # Written by another program. An error here would stop the node that
+            # performs the duty.
+            log.warning(
+                "invalid usage record in the store", note=str(value)[:MAX_LOGGED_CHARS]
+            )
             return None
 
     async def send(self, window: int, counts: dict[str, int]) -> None:
-        """Tell one window; what is noted in the store is sent as it stands there."""
-        parts = self.parts
-        if not parts.lease.is_held():
+        """Report one window with exactly the counts that are recorded in the store."""
+        components = self.components
+        if not components.lease.is_held():
             return
-        fencing = parts.lease.fencing
-        outcome = await parts.calls.send_usage(window, counts, fencing)
-        CALLS.add(duty="usage", outcome=type(outcome).__name__)
+        fencing = components.lease.fencing
+        outcome = await components.calls.send_usage(window, counts, fencing)
+        DUTY_CALLS.add(duty="usage", outcome=type(outcome).__name__)
         log.info(
-            "usage told",
+            "sent usage report",
             window=window,
             outcome=type(outcome).__name__,
             reason=getattr(outcome, "reason", None),
@@ -143,10 +169,10 @@
         if isinstance(outcome, DutyDone):
             self.done = window
         elif isinstance(outcome, DutyRefused):
-            parts.lease.note_fencing(fencing + 1)
-            self.retry_s = trio.current_time() + RETRY_S
+            components.lease.note_fencing(fencing + 1)
+            self.retry_s = trio.current_time() + RETRY_DELAY_S
         else:
-            self.retry_s = trio.current_time() + RETRY_S
-            late = parts.usage.window_of(parts.clock.now()) - window
+            self.retry_s = trio.current_time() + RETRY_DELAY_S
+            late = components.usage.window_of(components.clock.now()) - window
             if late > GIVE_UP_WINDOWS:
                 self.done = window
--- a/src/rosemaryknot/request/engine_queue.py
+++ b/src/rosemaryknot/request/engine_queue.py
@@ -61,7 +61,7 @@
     slots = left = 0
     for load in loads:
         own = load.report.slots if load.report else DEFAULT_SLOTS
-        others = max(0.0, load.requests_now() - load.in_flight)
+        others = max(0.0, load.current_requests() - load.in_flight)
         slots += own
         left += max(0.0, own - others)
     return max(left, slots * LEAST_SHARE)
--- a/src/rosemaryknot/request/gateway.py
+++ b/src/rosemaryknot/request/gateway.py
@@ -227,7 +227,7 @@
         finally:
             if outcome is None:
                 self.record_timeout(context, attempt)
-            self.components.servers.end(state, attempt.waiting_tokens)
+            self.components.servers.end(state, attempt.pending_prefill_tokens)
         self.record_outcome(state, outcome)
         return outcome
 
@@ -239,8 +239,8 @@
         """
         now_s = trio.current_time()
         is_late = now_s >= context.deadline_s
-        if is_late and attempt.state.heard_s < attempt.started_s:
-            self.components.servers.note_failure(
+        if is_late and attempt.state.last_received_s < attempt.started_s:
+            self.components.servers.record_failure(
                 attempt.state, "no byte before the deadline"
             )
 
@@ -249,18 +249,18 @@
         servers = self.components.servers
         if isinstance(outcome, Completed):
             if outcome.status < SERVER_ERROR:
-                servers.note_success(state)
+                servers.record_success(state)
             return
         if isinstance(outcome, NotRunThere) and outcome.status == 421:
             # Another server uses the address now, so this one has been removed.
-            state.is_gone = True
+            state.is_removed = True
             log.info(
                 "server removed: its address is used by another server",
                 server=state.entry.id,
                 born=state.entry.born,
             )
             return
-        servers.note_failure(state, getattr(outcome, "reason", "not run"))
+        servers.record_failure(state, getattr(outcome, "reason", "not run"))
 
     # Responses and outcomes.
 
--- a/src/rosemaryknot/request/gateway_attempt.py
+++ b/src/rosemaryknot/request/gateway_attempt.py
@@ -54,7 +54,7 @@
 
     Attributes
     ----------
-    waiting_tokens : int
+    pending_prefill_tokens : int
         Prompt tokens of this request that the server has not prefilled yet, as far as
         is known.
     """
@@ -70,7 +70,7 @@
         self.components = components
         self.context = context
         self.state = state
-        self.waiting_tokens = tokens
+        self.pending_prefill_tokens = tokens
         self.tokens_ahead = tokens_ahead
         self.started_s = trio.current_time()
 
@@ -84,7 +84,7 @@
         )
         if isinstance(connection, NotSent):
             return connection
-        if not self.state.takes_work(trio.current_time()):
+        if not self.state.accepts_requests(trio.current_time()):
             # The server was chosen before the connection was opened, and opening it may
             # take most of the time for which a draining server still serves requests.
             await connection.aclose()
@@ -158,7 +158,7 @@
         if isinstance(head, Lost):
             self.record_run()
             return head
-        self.state.heard_s = trio.current_time()
+        self.state.last_received_s = trio.current_time()
         if head.not_run:
             return NotRunThere(head.status)
         if self.context.reply.is_started and head.status != OK:
@@ -227,7 +227,7 @@
                 if context.reply.is_started:
                     return Broken(chunk.reason, context.last_event_id)
                 return chunk
-            self.state.heard_s = trio.current_time()
+            self.state.last_received_s = trio.current_time()
             events = splitter.feed(chunk)
             if events:
                 await self.forward_events(head, events)
@@ -253,20 +253,20 @@
         now_s = trio.current_time()
         self.context.first_byte_s = now_s - self.context.request.arrived_s
         FIRST_BYTE.observe(self.context.first_byte_s)
-        if self.waiting_tokens:
-            self.components.servers.first_event(
+        if self.pending_prefill_tokens:
+            self.components.servers.record_first_event(
                 self.state,
-                self.waiting_tokens,
+                self.pending_prefill_tokens,
                 self.tokens_ahead,
                 now_s - self.started_s,
             )
-            self.waiting_tokens = 0
+            self.pending_prefill_tokens = 0
 
     def record_run(self) -> None:
         """Record that the request began to run, once for all of its attempts."""
-        if self.waiting_tokens and self.context.reply.is_started:
-            self.state.waiting_tokens -= self.waiting_tokens
-            self.waiting_tokens = 0
+        if self.pending_prefill_tokens and self.context.reply.is_started:
+            self.state.pending_prefill_tokens -= self.pending_prefill_tokens
+            self.pending_prefill_tokens = 0
         context = self.context
         if context.is_run_recorded:
             return
--- a/src/rosemaryknot/request/gateway_choice.py
+++ b/src/rosemaryknot/request/gateway_choice.py
@@ -49,12 +49,12 @@
         requests, tokens = state.load()
         cached_tokens = 0
         if size is not None:
-            cached_tokens = components.servers.kept.tokens(state, size)
+            cached_tokens = components.servers.cached.tokens(state, size)
         candidates.append(
             Candidate(state, requests, tokens, cached_tokens, state.failures)
         )
     policy = "least_busy" if size is None else "unread_tokens"
-    if components.servers.is_told_late:
+    if components.servers.uses_hub_loads:
         policy += "_of_drawn"
     inputs = PlacementInput(components.zone, size, candidates, components.rng)
     if size is not None:
@@ -73,7 +73,7 @@
     inputs.event_gap_tokens = context.min_event_gap_s * components.servers.rate
     inputs.long_share = mix.long_share
     if not context.tried:
-        mix.note(inputs.prefill_tokens, inputs.is_long)
+        mix.record(inputs.prefill_tokens, inputs.is_long)
 
 
 def refuse_overload(
--- a/src/rosemaryknot/request/gateway_context.py
+++ b/src/rosemaryknot/request/gateway_context.py
@@ -221,8 +221,8 @@
     return {
         "server": chosen.state.entry.id,
         "server_born": chosen.state.entry.born,
-        "server_known_s": round(now_s - chosen.state.known_s, 3),
-        "server_entry_s": round(now_s - chosen.state.entry_s, 3),
+        "server_known_s": round(now_s - chosen.state.first_seen_s, 3),
+        "server_entry_s": round(now_s - chosen.state.entry_updated_s, 3),
         "server_failures": chosen.failures,
         "server_zone": chosen.state.entry.zone,
         "requests_there": chosen.requests,
--- a/src/rosemaryknot/request/gateway_placement.py
+++ b/src/rosemaryknot/request/gateway_placement.py
@@ -26,7 +26,10 @@
 
 import xxhash
 
-from rosemaryknot.process.gateway_servers import MODEL_SILENT_S, PLAIN_SILENT_S
+from rosemaryknot.process.gateway_servers import (
+    MODEL_SILENCE_TIMEOUT_S,
+    PLAIN_SILENCE_TIMEOUT_S,
+)
 from rosemaryknot.process.server_state import ServerState
 from rosemaryknot.values.gateway import ModelInput
 from rosemaryknot.values.incarnation import ServerIncarnation
@@ -200,7 +203,9 @@
     states = [candidate.state for candidate in inputs.candidates]
     if math.isinf(inputs.event_gap_tokens) or len(states) < MIN_SERVERS_FOR_SPLIT:
         return set(states)
-    states.sort(key=lambda state: xxhash.xxh64_intdigest(state.told_as.encode()))
+    states.sort(
+        key=lambda state: xxhash.xxh64_intdigest(state.incarnation_key.encode())
+    )
     count = round(LONG_PROMPT_HEADROOM * inputs.long_share * len(states))
     count = max(1, min((len(states) + 1) // 2, count))
     return set(states[:count] if inputs.is_long else states[count:])
@@ -264,11 +269,11 @@
     >>> eligible_servers([], 0.0, set(), True)
     []
     """
-    silence_timeout_s = MODEL_SILENT_S if is_model else PLAIN_SILENT_S
-    accepting = [s for s in states if s.takes_work(now_s)]
+    silence_timeout_s = MODEL_SILENCE_TIMEOUT_S if is_model else PLAIN_SILENCE_TIMEOUT_S
+    accepting = [s for s in states if s.accepts_requests(now_s)]
     if tried:
         accepting = [s for s in accepting if s.incarnation not in tried]
-    present = [s for s in accepting if now_s >= s.avoid_until_s]
+    present = [s for s in accepting if now_s >= s.backoff_until_s]
     present = [s for s in present if not s.is_silent(now_s, silence_timeout_s)]
     # A missing entry may have expired because the store was unreachable. Servers that
     # are still listed are preferred.
--- a/src/rosemaryknot/request/generation_run.py
+++ b/src/rosemaryknot/request/generation_run.py
@@ -107,7 +107,7 @@
             return
         attempt = self.new_attempt(server)
         guess = self.parts.router.guess(server, course.prompt)
-        attempt.load.prefixes.note_sent(course.prompt.blocks, trio.current_time())
+        attempt.load.prefixes.record_sent(course.prompt.blocks, trio.current_time())
         course.start_attempt(server)
         end = await self.stream(attempt)
         note_end(attempt, end)
@@ -208,7 +208,7 @@
 
     def give_up_on(self, server: BackendServer) -> None:
         """Avoid a server that failed this request."""
-        self.parts.health.note_failure(server.instance)
+        self.parts.health.record_failure(server.instance)
         self.course.exclude(server)
         self.cancel_at(server)
 
@@ -222,7 +222,7 @@
     def note_finished(self, attempt: Attempt, guess: Guess, end: Finished) -> None:
         """End a generation whose answer is whole, and learn from the report."""
         generation, router = self.generation, self.parts.router
-        self.parts.health.note_success(attempt.server.instance)
+        self.parts.health.record_success(attempt.server.instance)
         generation.prompt_tokens = end.prompt_tokens
         generation.cached_tokens = end.cached_tokens
         prompt = self.course.prompt
--- a/src/rosemaryknot/request/moves.py
+++ b/src/rosemaryknot/request/moves.py
@@ -191,7 +191,7 @@
     def target_facts(self, server: BackendServer) -> TargetFacts:
         """Return what is known of one target."""
         load = self.router.loads.of(server)
-        facts = TargetFacts(server, load.requests_now())
+        facts = TargetFacts(server, load.current_requests())
         facts.importing = self.importing[server.instance]
         if load.report is not None:
             facts.slots = load.report.slots
--- a/src/rosemaryknot/request/plain.py
+++ b/src/rosemaryknot/request/plain.py
@@ -129,14 +129,14 @@
             if result is None:
                 break
             if not is_retried(result):
-                budget.note_success()
+                budget.record_success()
                 break
             if trio.current_time() >= request.deadline_s:
                 break
             if isinstance(result, NotSent):
                 # Nothing ran anywhere, so the retry adds no load to the service.
                 continue
-            if not budget.take() or not await self.back_off(request, done):
+            if not budget.acquire() or not await self.back_off(request, done):
                 break
         return outcome_of(done.last)
 
@@ -228,9 +228,9 @@
             self.servers.mark_leaving(server.instance, 0.0, LEAVING_SOURCE)
             result = NotSent(Reason.NO_SERVER)
         elif isinstance(result, Answered) and result.status < FAILED_STATUS:
-            self.health.note_success(server.instance)
+            self.health.record_success(server.instance)
         elif not is_impatience(result, took_s):
-            self.health.note_failure(server.instance)
+            self.health.record_failure(server.instance)
         name = type(result).__name__.lower()
         tries.add(service=request.service, result=name)
         if not isinstance(result, Answered):
--- a/src/rosemaryknot/request/router.py
+++ b/src/rosemaryknot/request/router.py
@@ -272,7 +272,7 @@
         guess = load.prefixes.guess(prompt.blocks, now_s)
         return Candidate(
             server,
-            requests=load.requests_now(),
+            requests=load.current_requests(),
             slots=report.slots if report else DEFAULT_SLOTS,
             step_time_ms=report.step_time_ms if report else step_time_ms,
             prefill_tokens=load.in_flight_tokens,
--- a/src/rosemaryknot/request/standby.py
+++ b/src/rosemaryknot/request/standby.py
@@ -208,7 +208,7 @@
             state.failures, state.heard_s = 0, trio.current_time()
             self.note_taken(updates, answer)
         else:
-            self.note_failure(standby, state, of_standby)
+            self.record_failure(standby, state, of_standby)
 
     def updates_of(
         self, of_standby: list[Copied]
@@ -243,7 +243,7 @@
             if update.outcome:
                 self.copies.pop(copied.key, None)
 
-    def note_failure(
+    def record_failure(
         self, standby: str, state: StandbyState, of_standby: list[Copied]
     ) -> None:
         """Give a standby up that does not answer, and copy its share elsewhere."""
--- a/src/rosemaryknot/standin/peak.py
+++ b/src/rosemaryknot/standin/peak.py
@@ -27,7 +27,7 @@
     Tally,
     Way,
 )
-from rosemaryknot.values.gateway import ModelInput, PromptPart
+from rosemaryknot.values.gateway import ModelInput, PromptSegment
 
 __all__ = ["play_peak"]
 
@@ -110,13 +110,13 @@
         while True:
             await trio.sleep(self.report_s)
             for one in self.gateways:
-                places, one.table.recent = one.table.recent, []
+                places, one.table.recent_locations = one.table.recent_locations, []
                 for other in self.gateways:
                     if other is one:
                         continue
                     other.hear(one)
                     for part, server in places:
-                        other.table.note_place(part, server)
+                        other.table.record_location(part, server)
 
     async def ask(
         self, kind: Kind, size: ModelInput, gateways: Iterator[Gateway]
@@ -167,7 +167,7 @@
         state = chosen.state
         tokens = size.prompt_tokens - chosen.cached_tokens
         prompt = Prompt(size)
-        began_s = state.heard_s = trio.current_time()
+        began_s = state.last_received_s = trio.current_time()
         gateway.table.begin(state, size, tokens)
         engine = self.engines[state.entry.id]
         engine.put(prompt)
@@ -180,7 +180,7 @@
             gateway.table.end(state, tokens)
             raise
         took_s = trio.current_time() - began_s
-        gateway.table.first_event(state, tokens, chosen.tokens, took_s)
+        gateway.table.record_first_event(state, tokens, chosen.tokens, took_s)
         wait_s = trio.current_time() - asked_s
         answer = partial(self.answer, kind, gateway, state, engine, prompt, wait_s)
         self.answers.start_soon(answer)
@@ -205,16 +205,16 @@
 def draw_size(kind: Kind, rng: random.Random) -> ModelInput:
     """Return a prompt: a shared beginning, a session's part and the rest."""
     if kind.rank > 0:
-        shared = PromptPart(f"L{rng.randrange(3)}", 512)
-        session = PromptPart(f"S{rng.randrange(kind.sessions)}", 4870)
+        shared = PromptSegment(f"L{rng.randrange(3)}", 512)
+        session = PromptSegment(f"S{rng.randrange(kind.sessions)}", 4870)
         own = int(min(54_600, rng.lognormvariate(8.0, 1.2)))
     else:
-        shared = PromptPart(f"l{rng.randrange(20)}", 341)
-        session = PromptPart(f"s{rng.randrange(kind.sessions)}", 227)
+        shared = PromptSegment(f"l{rng.randrange(20)}", 341)
+        session = PromptSegment(f"s{rng.randrange(kind.sessions)}", 227)
         own = int(min(6_870, rng.lognormvariate(7.0, 0.9)))
-    parts = (shared, session, PromptPart("own", own))
-    tokens = sum(part.tokens for part in parts)
-    return ModelInput(tokens, kind.answer_tokens, parts)
+    segments = (shared, session, PromptSegment("own", own))
+    tokens = sum(part.tokens for part in segments)
+    return ModelInput(tokens, kind.answer_tokens, segments)
 
 
 def play_peak(way: Way, load: Load, seed: int, deployment: Deployment = SMALL) -> Tally:
--- a/src/rosemaryknot/standin/peak_engine.py
+++ b/src/rosemaryknot/standin/peak_engine.py
@@ -59,7 +59,7 @@
         """Return the tokens that it does not keep."""
         now_s = trio.current_time()
         unread = size.prompt_tokens
-        for part in size.parts[:-1]:
+        for part in size.segments[:-1]:
             if now_s - self.kept.get(part.id, -KEPT_S) >= KEPT_S:
                 break
             unread -= part.tokens
@@ -81,7 +81,7 @@
                 continue
             await self.places.acquire_on_behalf_of(prompt)
             await self.read(prompt)
-            for part in prompt.size.parts[:-1]:
+            for part in prompt.size.segments[:-1]:
                 self.kept[part.id] = trio.current_time()
             prompt.is_read.set()
             if prompt.is_left:
--- a/src/rosemaryknot/standin/peak_gateway.py
+++ b/src/rosemaryknot/standin/peak_gateway.py
@@ -67,9 +67,9 @@
 def unread_tokens_of_2_and_kept(given: PlacementInput) -> Candidate | None:
     """Choose among two drawn servers and the one that keeps most of the prompt."""
     few = given.rng.sample(given.candidates, min(2, len(given.candidates)))
-    kept = max(given.candidates, key=lambda candidate: candidate.cached_tokens)
-    if kept.cached_tokens and kept not in few:
-        few.append(kept)
+    cached = max(given.candidates, key=lambda candidate: candidate.cached_tokens)
+    if cached.cached_tokens and cached not in few:
+        few.append(cached)
     return POLICIES["unread_tokens"](replace(given, candidates=few))
 
 
@@ -87,7 +87,7 @@
         self.pause_s = min(deployment.long.pause_s, deployment.short.pause_s)
         self.held: list[tuple[int, float, int]] = []
         self.table = ServerTable()
-        self.table.is_told_late = deployment.has_hubs
+        self.table.uses_hub_loads = deployment.has_hubs
         for server in range(deployment.servers):
             zone = zones[server % len(zones)]
             address = Address("10.0.0.1", 80 + server)
@@ -100,14 +100,14 @@
         candidates = []
         for state in eligible_servers(states, trio.current_time(), set(), True):
             requests, tokens = state.load()
-            kept = self.table.kept.tokens(state, size)
-            candidates.append(Candidate(state, requests, tokens, kept))
+            cached = self.table.cached.tokens(state, size)
+            candidates.append(Candidate(state, requests, tokens, cached))
         event_gap_tokens = self.pause_s * self.table.rate
         mix = self.table.mixes["model"]
         given = PlacementInput(
             self.zone, size, candidates, self.rng, event_gap_tokens, mix.long_share
         )
-        mix.note(given.prefill_tokens, given.is_long)
+        mix.record(given.prefill_tokens, given.is_long)
         return POLICIES[self.way.placement](given)
 
     def refusal_s(
@@ -139,5 +139,5 @@
         now_s = trio.current_time()
         for name, state in self.table.by_id.items():
             there = other.table.by_id[name]
-            told = PeerLoad(there.in_flight, there.waiting_tokens, now_s)
+            told = PeerLoad(there.in_flight, there.pending_prefill_tokens, now_s)
             state.peers[other.name] = told
--- a/src/rosemaryknot/standin/peak_hubs.py
+++ b/src/rosemaryknot/standin/peak_hubs.py
@@ -61,7 +61,7 @@
         await trio.sleep(self.report_s * self.rng.random())
         while True:
             loads = {
-                name: (state.in_flight, state.waiting_tokens)
+                name: (state.in_flight, state.pending_prefill_tokens)
                 for name, state in gateway.table.by_id.items()
             }
             self.reports[gateway.zone][gateway.name] = loads
--- a/src/rosemaryknot/standin/users/cloud.py
+++ b/src/rosemaryknot/standin/users/cloud.py
@@ -32,12 +32,12 @@
     ----------
     lose_calls : int
         So many calls are carried out and not answered.
-    dry_zones : set of str
+    exhausted_zones : set of str
         Zones without reclaimable servers.
     """
 
     lose_calls: int = 0
-    dry_zones: set[str] = field(default_factory=set)
+    exhausted_zones: set[str] = field(default_factory=set)
 
 
 class CloudStandIn:
@@ -93,7 +93,11 @@
                 self.doubled.append(body["windowId"])
             return 200
         is_reclaimable = bool(body.get("spot"))
-        if is_reclaimable and body["desired"] and body["zone"] in self.faults.dry_zones:
+        if (
+            is_reclaimable
+            and body["desired"]
+            and body["zone"] in self.faults.exhausted_zones
+        ):
             return 409
         self.sizes[body["service"], body["zone"], is_reclaimable] = body["desired"]
         return 200
--- a/src/rosemaryknot/values/gateway.py
+++ b/src/rosemaryknot/values/gateway.py
@@ -20,7 +20,7 @@
     "GatewayRoute",
     "GatewayService",
     "ModelInput",
-    "PromptPart",
+    "PromptSegment",
     "Repeat",
     "RoutedServer",
     "ScalingLimits",
@@ -302,7 +302,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PromptPart:
+class PromptSegment:
     """A part of a prompt that requests may share.
 
     Attributes
@@ -325,13 +325,13 @@
     ----------
     prompt_tokens, max_output_tokens : int
         Sizes.
-    parts : tuple of PromptPart
+    segments : tuple of PromptSegment
         The prompt in order; the last part is the request's or its session's own.
     """
 
     prompt_tokens: int = 0
     max_output_tokens: int = 0
-    parts: tuple[PromptPart, ...] = ()
+    segments: tuple[PromptSegment, ...] = ()
 
 
 @dataclass(slots=True)
--- a/tests/gateway/test_bounds.py
+++ b/tests/gateway/test_bounds.py
@@ -215,7 +215,7 @@
             await trio.sleep(1.5)
             for node in here:
                 if node.node.name not in silent:
-                    assert node.state.servers.by_id["p0"].has_drained, node.node
+                    assert node.state.servers.by_id["p0"].has_announced_drain, node.node
 
     async def test_hub_partitioned_from_store(self, autojump_clock):
         """The hub of a zone is partitioned from the store, and servers drain in turn.
@@ -238,7 +238,7 @@
                 await trio.sleep(0.3)
                 for node in here:
                     servers = node.state.servers.by_id
-                    late = [n for n in left_s if not servers[n].has_drained]
+                    late = [n for n in left_s if not servers[n].has_announced_drain]
                     late = [n for n in late if trio.current_time() - left_s[n] > 1.5]
                     assert node.node.name == hub or not late
 
@@ -321,10 +321,10 @@
         """
         nodes = [10]
         budget = AttemptBudget(0.0, 10.0, 100.0, lambda: nodes[0])
-        budget.take("s", 0.0)
+        budget.acquire("s", 0.0)
         budget.record_request("s", 95.0)
         nodes[0] = 5
-        granted = sum(budget.take("s", 100.0) for _ in range(50))
+        granted = sum(budget.acquire("s", 100.0) for _ in range(50))
         assert 10 * granted <= 100
 
     def test_removed_nodes(self):
@@ -335,9 +335,9 @@
         """
         nodes = [10]
         budget = AttemptBudget(0.0, 10.0, 100.0, lambda: nodes[0])
-        budget.take("s", 0.0)
+        budget.acquire("s", 0.0)
         nodes[0] = 5
-        assert sum(budget.take("s", 61.0) for _ in range(50)) == 16
+        assert sum(budget.acquire("s", 61.0) for _ in range(50)) == 16
 
 
 class TestSettingsReload:
--- a/tests/gateway/test_control.py
+++ b/tests/gateway/test_control.py
@@ -1,4 +1,7 @@
-"""Tests of what gateways believe: configuration, servers, the store, duties, stops."""
+"""Tests of gateways' state: configuration, servers, the store, duties and shutdown.
+
+A duty is a task that only the holder of a lease performs.
+"""
 
 import trio
 
@@ -22,12 +25,12 @@
 
 
 def is_hub(node):
-    """Tell whether a node watches the store for others."""
+    """Return whether a node watches the store for others."""
     return node.exchange.hubs.is_hub()
 
 
 class TestConfiguration:
-    async def test_change_is_in_force_soon(self, autojump_clock):
+    async def test_change_is_applied_soon(self, autojump_clock):
         async with platform_system(nodes=3) as fleet:
             fleet.store.put("config", "main", with_stock(7, "/new/"))
             await trio.sleep(0.2)
@@ -35,10 +38,10 @@
                 assert (await fleet.ask("/new/x", name, method="GET")).status == 200
                 assert (await fleet.ask("/stock/x", name, method="GET")).status == 404
 
-    async def test_never_goes_back(self, autojump_clock):
-        """A node lists again and the store answers with an older version.
+    async def test_older_version_is_ignored(self, autojump_clock):
+        """A node lists again and the store responds with an older version.
 
-        Taken over, it would bring routes and keys back that operators have removed.
+        Applying it would restore routes and keys that operators have removed.
         """
         async with platform_system() as fleet:
             fleet.store.put("config", "main", with_stock(7, "/new/"))
@@ -49,21 +52,21 @@
             assert fleet.nodes["n0"].state.version == 7
             assert (await fleet.ask("/old/x", method="GET")).status == 404
 
-    async def test_key_is_taken_away(self, autojump_clock):
+    async def test_key_is_removed(self, autojump_clock):
         async with platform_system() as fleet:
             tenants = [{"name": "ada", "apiKeys": ["other"], "ratePerS": 0}]
             fleet.store.put("config", "main", document(2, tenants=tenants))
             await trio.sleep(0.2)
             assert (await fleet.ask("/book/x")).status == 401
 
-    async def test_unusable_document_is_left_alone(self, autojump_clock):
+    async def test_invalid_document_is_ignored(self, autojump_clock):
         async with platform_system() as fleet:
             fleet.store.put("config", "main", {"version": 9, "routes": [{}]})
             await trio.sleep(0.2)
             assert fleet.nodes["n0"].state.version == 1
             assert (await fleet.ask("/book/x")).status == 200
 
-    async def test_history_is_gone(self, autojump_clock):
+    async def test_history_is_truncated(self, autojump_clock):
         async with platform_system() as fleet:
             fleet.store.faults.begin("silent")
             await trio.sleep(1)
@@ -74,11 +77,12 @@
             assert fleet.nodes["n0"].state.version == 7
 
     async def test_watch_lost_in_an_outage(self, autojump_clock):
-        """The store is silent for two seconds and then there again; a change follows.
+        """The store is silent for two seconds and then reachable; a change follows.
 
-        The watches of all nodes were swallowed without a sign and would be waited for
-        to their end. One node's other call meets the outage, finds the store again
-        and tells; the others ask at once and have the change within two seconds.
+        The watches of all nodes were dropped without an error, and nodes would wait for
+        them until their timeout. Another call of one node fails in the outage, later
+        reaches the store again, and the node reports this. The others query the store
+        immediately and apply the change within two seconds.
         """
         async with platform_system(nodes=3, duties=["usage"]) as fleet:
             await trio.sleep(5)
@@ -102,8 +106,8 @@
             await trio.sleep(CONTACT_S)
             assert fleet.nodes["n0"].state.version == 7
 
-    async def test_outage_after_one_node_has_met_others(self, autojump_clock):
-        """Guards against a node whose earlier outages hide one that all nodes meet."""
+    async def test_outage_after_earlier_outages_of_one_node(self, autojump_clock):
+        """Guards against earlier outages of a node that hide one of all nodes."""
         async with platform_system(nodes=30, duties=["usage"]) as fleet:
             nodes = fleet.nodes.values()
             await trio.sleep(5)
@@ -120,10 +124,11 @@
             await trio.sleep(CONTACT_S)
             assert {node.state.version for node in nodes} == {7}
 
-    async def test_cut_off_from_the_store(self, autojump_clock):
-        """The store refuses one node and serves the others; a key is taken away.
+    async def test_store_unreachable_for_one_node(self, autojump_clock):
+        """The store refuses one node and serves the others; a route is replaced.
 
-        The others know, and pass it on to the one that says it has lost the store.
+        The others receive the change and send it to the node that reports the store as
+        unreachable.
         """
         async with platform_system(nodes=3) as fleet:
             fleet.store.faults.begin("busy", "10.2.0.2")
@@ -135,7 +140,7 @@
             await trio.sleep(2)
             state = fleet.nodes["n1"].state
             assert state.version == 7
-            assert state.servers.by_id["p0"].has_drained
+            assert state.servers.by_id["p0"].has_announced_drain
 
 
 class TestServers:
@@ -147,17 +152,17 @@
             for number in range(5):
                 await fleet.ask("/stock/x", method="GET", request_id=f"d{number}")
             assert not fleet.servers["p0"].arrivals
-            # An older read must not bring it back.
+            # An outdated read must not restore it.
             fleet.store.put("servers", "p0", fleet.servers["p0"].entry)
             await trio.sleep(0.1)
             await fleet.ask("/stock/x", method="GET")
             assert not fleet.servers["p0"].arrivals
 
-    async def test_lapsed_entry_comes_back(self, autojump_clock):
-        """All entries lapse in an outage, while a request is in flight at a server.
+    async def test_expired_entry_is_restored(self, autojump_clock):
+        """All entries expire in an outage while a request is in flight at a server.
 
-        They are written again a second later. The server with the request stayed
-        marked as leaving for good, and its service had no server any more.
+        They are written again a second later. The server with the request remained
+        marked as draining permanently, and its service had no server left.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].work_s = 1.0
@@ -168,31 +173,31 @@
                 await trio.sleep(0.3)
                 fleet.store.put("servers", "p0", fleet.servers["p0"].entry)
             await trio.sleep(3)
-            answer = await fleet.ask("/book/x", request_id="r3")
-            assert answer.status == 200
+            response = await fleet.ask("/book/x", request_id="r3")
+            assert response.status == 200
 
-    async def test_missing_entry_is_heeded_in_time(self, autojump_clock):
-        """An entry goes without a word of leaving, and the server was the only one.
+    async def test_missing_entry_takes_effect_in_time(self, autojump_clock):
+        """The entry of the only server is removed without being marked as draining.
 
-        It may have lapsed and is used for a while; well before work has to have
-        stopped there, requests are refused. A task that ran twice a second let some
-        through up to half a second later.
+        The entry may have expired, so the server is used for some time. Requests are
+        refused well before work at the server must have stopped. A task that ran twice
+        a second admitted requests up to half a second too late.
         """
         bounds = Bounds(drain_ms=2000)
         async with platform_system(plain=1, bounds=bounds) as fleet:
-            gone_s = trio.current_time()
+            removed_s = trio.current_time()
             fleet.store.remove("servers", "p0")
-            while trio.current_time() < gone_s + 4:
+            while trio.current_time() < removed_s + 4:
                 await fleet.ask("/stock/x", method="GET")
                 await trio.sleep(0.02)
             last_s = max(a.at_s for a in fleet.ledger.arrivals)
-            assert 1.0 < last_s - gone_s < 1.8
+            assert 1.0 < last_s - removed_s < 1.8
 
-    async def test_work_goes_around_a_silent_server(self, autojump_clock):
-        """A model server goes dark with streams on it.
+    async def test_silent_server_gets_no_new_streams(self, autojump_clock):
+        """A model server stops sending data on its streams.
 
-        It accepts connections still; new streams sent there would wait for nothing.
-        After a second without a byte it gets no more of them.
+        It still accepts connections, but new streams sent to it would wait in vain.
+        After a second without a byte, it receives no more streams.
         """
         async with platform_system() as fleet:
             fleet.servers["m0"].is_mute = True
@@ -206,13 +211,13 @@
                 await trio.sleep(1.3)
                 before = len(fleet.servers["m0"].arrivals)
                 for number in range(5):
-                    answer = await fleet.ask(
+                    response = await fleet.ask(
                         "/plan/x", request_id=f"v{number}", **MODEL_HEADERS
                     )
-                    assert answer.is_whole
+                    assert response.is_whole
                 assert len(fleet.servers["m0"].arrivals) == before
 
-    async def test_same_parts_go_to_the_same_server(self, autojump_clock):
+    async def test_same_segments_use_the_same_server(self, autojump_clock):
         async with platform_system(nodes=2, models=4) as fleet:
             for number in range(6):
                 await fleet.ask(
@@ -226,12 +231,13 @@
             assert len(used) == 1
 
 
-class TestPlannedStop:
-    async def test_what_was_read_is_answered(self, autojump_clock):
-        """A node is stopped while a stream runs and a kept connection is idle.
+class TestGracefulShutdown:
+    async def test_received_requests_are_served(self, autojump_clock):
+        """A node is stopped while a stream runs and a keep-alive connection is idle.
 
-        It says at once that it is not ready, the stream ends whole, and the idle
-        connection is closed unread so that its caller goes elsewhere.
+        It immediately reports that it is not ready, the stream completes, and the idle
+        connection is closed without reading from it, so that its caller uses another
+        node.
         """
         async with platform_system() as fleet:
             fleet.servers["m0"].work_s = fleet.servers["m1"].work_s = 0.25
@@ -239,10 +245,10 @@
             await idle.send("/stock/x", method="GET", request_id="idle")
             assert (await idle.receive()).status == 200
             async with trio.open_nursery() as nursery:
-                answers = []
+                responses = []
 
                 async def stream():
-                    answers.append(
+                    responses.append(
                         await fleet.ask(
                             "/plan/x",
                             request_id="long",
@@ -261,14 +267,14 @@
                 assert late.headers["connection"] == "close"
                 await trio.sleep(3)
                 assert await idle.stream.receive_some(10) == b""
-            assert answers[0].is_whole or answers[0].status == 504
+            assert responses[0].is_whole or responses[0].status == 504
 
     async def test_long_stream_is_refused_late(self, autojump_clock):
-        """Callers come to a node that has been stopping for seconds.
+        """Requests arrive at a node that has been shutting down for seconds.
 
-        Most of its zone's nodes are away, so the balancer still sends them there. A
-        stream of two seconds would be cut at the end of the grace; it is refused, and
-        a short question is still answered.
+        Most nodes of its zone are unavailable, so the load balancer still uses this
+        node. A stream of two seconds would be aborted at the end of the grace period;
+        it is refused, and a short request is still served.
         """
         slow = document()
         slow["routes"][0]["timeoutMs"] = 9000
@@ -291,11 +297,12 @@
             assert late.status == 503
             assert (await fleet.ask("/stock/x", method="GET")).status == 200
 
-    async def test_longer_stream_than_most_is_refused_late(self, autojump_clock):
-        """A node has been stopping for four seconds, and a stream comes.
+    async def test_stream_longer_than_most_is_refused_late(self, autojump_clock):
+        """A stream arrives at a node that has been shutting down for four seconds.
 
         Most streams of its route take a second; this one has five times the tokens.
-        By the route's mean it was taken, and cut at the end of the grace.
+        When judged by the route's mean duration, it was accepted and then aborted at
+        the end of the grace period.
         """
         slow = document()
         slow["routes"][0]["timeoutMs"] = 9000
@@ -316,10 +323,11 @@
             assert late.status == 503
 
     async def test_stream_as_slow_as_the_slowest_is_refused_late(self, autojump_clock):
-        """A burst slowed some streams to a third; a node stops, and a stream comes.
+        """A burst slowed some streams to a third; a stream arrives during shutdown.
 
-        By the mean of all and its deviation it would end in time, and as slow as the
-        slowest of late it was cut at the end of the grace.
+        According to the mean and deviation of all streams it would end in time. At the
+        pace of the slowest recent streams it was aborted at the end of the grace
+        period.
         """
         slow = document()
         slow["routes"][0]["timeoutMs"] = 9000
@@ -348,7 +356,7 @@
 
 class TestDuties:
     async def test_usage_by_windows(self, autojump_clock):
-        """Requests through all nodes are told once a window by one of them."""
+        """Requests through all nodes are reported once per window by one node."""
         async with platform_system(nodes=3, duties=["usage"]) as fleet:
             await trio.sleep(5)
             for number in range(60):
@@ -361,12 +369,12 @@
             assert sum(c.get("ada", 0) for c in fleet.cloud.usage.values()) == 60
             assert len({c.holder for c in fleet.cloud.calls}) == 1
 
-    async def test_lost_answer_and_a_new_holder(self, autojump_clock):
-        """The answer to a report of usage is lost and the holder is killed.
+    async def test_lost_response_and_a_new_holder(self, autojump_clock):
+        """The response to a usage report is lost and the lease holder is killed.
 
-        The next holder cannot know whether it was taken. Its own counts may differ,
-        and a second report with others would be a breach; it sends what the first
-        one left in the store.
+        The next holder cannot know whether the report was accepted. Its own counts may
+        differ, and a second report with different counts would be a violation. It sends
+        the counts that the first holder recorded in the store.
         """
         async with platform_system(nodes=3, duties=["usage"]) as fleet:
             await trio.sleep(6)
@@ -388,10 +396,10 @@
             assert fences == sorted(fences)
 
     async def test_all_nodes_killed(self, autojump_clock):
-        """All nodes are killed just after a window has ended and before it is told.
+        """All nodes are killed after a window has ended and before it is reported.
 
-        What they told each other is gone with them; the counts that went out with the
-        lease's renewals are not.
+        The counts that they reported to each other are lost; the counts written to the
+        store with the renewals of the lease are not.
         """
         async with platform_system(nodes=2, duties=["usage"]) as fleet:
             await trio.sleep(6)
@@ -412,9 +420,10 @@
     """A deployment of fifteen nodes, of which three watch the store."""
 
     async def test_changes_reach_all_nodes(self, autojump_clock):
-        """A route is added and a server says that it leaves.
+        """A route is added and a server announces that it drains.
 
-        Three nodes are told by the store and tell the others, who make no call.
+        Three nodes receive the changes from the store and send them to the others,
+        which make no call.
         """
         async with platform_system(nodes=15) as fleet:
             await trio.sleep(12)
@@ -425,13 +434,13 @@
             await trio.sleep(0.2)
             for node in fleet.nodes.values():
                 assert node.state.version == 7
-                assert node.state.servers.by_id["p0"].has_drained
+                assert node.state.servers.by_id["p0"].has_announced_drain
             assert len(fleet.store.calls) - calls <= 12
 
-    async def test_watching_nodes_are_turned_away(self, autojump_clock):
-        """The store turns the nodes away that watch it; then a key is taken away.
+    async def test_watching_nodes_are_refused(self, autojump_clock):
+        """The store refuses the nodes that watch it; then a route is replaced.
 
-        They say so, and the others watch for themselves within two seconds.
+        The nodes report that, and the others open their own watches within two seconds.
         """
         async with platform_system(nodes=15) as fleet:
             await trio.sleep(8)
@@ -442,31 +451,33 @@
             await trio.sleep(2)
             assert {n.state.version for n in fleet.nodes.values()} == {7}
 
-    async def test_told_behind_a_gap_while_the_store_is_silent(self, autojump_clock):
-        """Guards against work for a server whose leaving was told behind a gap."""
+    async def test_peer_change_after_a_gap_while_the_store_is_silent(
+        self, autojump_clock
+    ):
+        """Guards against work for a server whose draining is received after a gap."""
         async with platform_system(nodes=1) as fleet:
             node = fleet.nodes["n0"]
             fleet.store.faults.begin("silent")
             follower = node.followers["servers"]
             missed = follower.revision + 1
             value = fleet.servers["p0"].entry | {"state": "draining"}
-            told = Changes(missed + 1, [ObjectChanged("p0", missed + 1, value)])
-            follower.take_told(missed, told)
-            assert node.state.servers.by_id["p0"].has_drained
+            message = Changes(missed + 1, [ObjectChanged("p0", missed + 1, value)])
+            follower.take_told(missed, message)
+            assert node.state.servers.by_id["p0"].has_announced_drain
             assert follower.revision < missed
 
-    async def test_deletion_that_was_told_stays(self, autojump_clock):
-        """A node asks the store while it is told that a server is gone.
+    async def test_deletion_from_a_peer_persists(self, autojump_clock):
+        """A node queries the store while a peer reports that a server is removed.
 
-        The answer was made before and still holds the server's entry; taken over, it
-        would bring the server back.
+        The response was created earlier and still contains the server's entry; applying
+        it would restore the server.
         """
         async with platform_system(nodes=1) as fleet:
             follower = fleet.nodes["n0"].followers["servers"]
             before = follower.revision
             value = fleet.servers["p0"].entry | {"state": "draining"}
             put = ObjectChanged("p0", before + 1, value)
-            gone = ObjectChanged("p0", before + 2, None, deleted=True)
-            follower.take_told(before, Changes(before + 2, [put, gone]))
+            removed = ObjectChanged("p0", before + 2, None, deleted=True)
+            follower.take_told(before, Changes(before + 2, [put, removed]))
             follower.take_changes(Changes(before + 1, [put]))
             assert "p0" not in fleet.nodes["n0"].state.entries
--- a/tests/gateway/test_foreign_entries.py
+++ b/tests/gateway/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Tests of entries that another writer puts into the store."""
+"""Tests of invalid entries that another writer puts into the store."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 from rosemaryknot.process.leases import KIND as LEASES
 from rosemaryknot.process.node import LEASE_NAME
-from rosemaryknot.process.usage_book import UsageBook
+from rosemaryknot.process.usage_tracker import UsageTracker
 from rosemaryknot.standin.users.foreign import FOREIGN, foreign_value
 from rosemaryknot.standin.users.store import RawValue
 from rosemaryknot.standin.users.system import PLAIN, document, platform_system
@@ -30,24 +30,24 @@
     return set(fleet.nodes[node].state.servers.by_id)
 
 
-def values_of(sound):
-    """Return one value of each way in which an entry is none of a server's."""
+def values_of(valid):
+    """Return one value for each way in which an entry is not a valid server entry."""
     rng = random.Random(1)
-    return {way: foreign_value(way, sound, rng) for way in FOREIGN}
+    return {way: foreign_value(way, valid, rng) for way in FOREIGN}
 
 
 class TestServers:
-    async def test_name_no_server_to_use(self, autojump_clock):
-        """Entries of every foreign kind come by the watch, and by a list.
+    async def test_define_no_usable_server(self, autojump_clock):
+        """Invalid entries of every kind are received by the watch and by a list.
 
-        None of them names a server; the sound ones change and are used as before, and
-        no list or watch begins anew because of them.
+        None of them defines a server. Valid entries are still applied and used, and the
+        invalid ones cause no new list or watch.
         """
         async with platform_system(nodes=2) as fleet:
             known = ids_of(fleet)
-            sound = fleet.servers["p0"].entry
+            valid = fleet.servers["p0"].entry
             lists = [c for c in fleet.store.calls if "watch" not in c.path]
-            for way, value in values_of(sound).items():
+            for way, value in values_of(valid).items():
                 fleet.store.put("servers", f"x-{way}", value)
                 await trio.sleep(0.05)
             for stray in STRAYS:
@@ -61,10 +61,10 @@
             assert not fleet.nodes["n0"].followers["servers"].is_lost()
 
     @pytest.mark.parametrize("name", ["", "x y", "x\ny", "x\u00e9", "x\ud800"])
-    async def test_name_that_is_no_id(self, autojump_clock, name):
-        """A sound entry stands under a name that no header takes.
+    async def test_name_that_is_not_a_valid_id(self, autojump_clock, name):
+        """A valid entry has a name that is not allowed in a header.
 
-        Sent as the expected server, it ended the node with its first request there.
+        Sent as the expected server, it crashed the node at the first request to it.
         """
         async with platform_system(plain=0) as fleet:
             server = await fleet.add_server("p0", PLAIN)
@@ -72,8 +72,8 @@
             fleet.store.remove("servers", "p0")
             await trio.sleep(3)
             assert ids_of(fleet) == {"m0", "m1"}
-            answer = await fleet.ask("/stock/x", method="GET")
-            assert answer.status == 503
+            response = await fleet.ask("/stock/x", method="GET")
+            assert response.status == 503
 
     async def test_new_node_lists_the_others(self, autojump_clock):
         async with platform_system() as fleet:
@@ -86,7 +86,7 @@
             assert ids_of(fleet, "n1") == {"p0", "p1", "m0", "m1"}
 
     async def test_reach_nodes_that_do_not_watch(self, autojump_clock):
-        """Fifteen nodes tell each other of foreign entries among sound ones."""
+        """Fifteen nodes report invalid entries among valid ones to each other."""
         async with platform_system(nodes=15) as fleet:
             await trio.sleep(8)
             for way, value in values_of(fleet.servers["p0"].entry).items():
@@ -107,21 +107,21 @@
             assert "p9" in ids_of(fleet, "n1")
             assert ids_of(fleet, "n1") == ids_of(fleet)
 
-    async def test_one_line_an_entry_and_change(self, autojump_clock):
+    async def test_one_log_line_per_entry_and_change(self, autojump_clock):
         async with platform_system() as fleet:
-            sound = fleet.servers["p0"].entry
+            valid = fleet.servers["p0"].entry
             with structlog.testing.capture_logs() as lines:
-                fleet.store.put("servers", "x1", sound | {"state": "resting"})
+                fleet.store.put("servers", "x1", valid | {"state": "resting"})
                 await trio.sleep(SOON_S)
                 for _ in range(3):
                     await fleet.nodes["n0"].followers["servers"].list_all()
-                fleet.store.put("servers", "x1", sound | {"slots": True})
+                fleet.store.put("servers", "x1", valid | {"slots": True})
                 await trio.sleep(SOON_S)
             reasons = [x["reason"] for x in lines if "left alone" in x["event"]]
             assert reasons == ["state is not known", "slots is no whole number"]
 
     async def test_unknown_service_may_come_later(self, autojump_clock):
-        """A server's service is in no configuration yet, and in the next one."""
+        """The service of a server is added only with the next configuration."""
         async with platform_system(plain=0) as fleet:
             with structlog.testing.capture_logs() as lines:
                 await fleet.add_server("q0", "new")
@@ -135,43 +135,44 @@
                 "config", "main", document(7, routes=[routes], services=services)
             )
             await trio.sleep(SOON_S)
-            answer = await fleet.ask("/stock/x", method="GET")
-            assert answer.status == 200
+            response = await fleet.ask("/stock/x", method="GET")
+            assert response.status == 200
 
-    async def test_known_server_is_used_till_nobody_vouches(self, autojump_clock):
-        """The entry of a service's only server is overwritten and written again.
+    async def test_known_server_is_used_until_its_entry_times_out(self, autojump_clock):
+        """The entry of a service's only server is overwritten and then restored.
 
-        It goes on taking requests meanwhile. Where it is not written again, its
-        server may have left: it gets none after the time for a missing entry.
+        The server still gets requests meanwhile. If the entry is not restored, the
+        server may have drained: it gets no requests after the timeout for a missing
+        entry.
         """
         async with platform_system(plain=1) as fleet:
-            sound = fleet.servers["p0"].entry
+            valid = fleet.servers["p0"].entry
             fleet.store.put("servers", "p0", {"state": "resting"})
             await trio.sleep(1)
-            answer = await fleet.ask("/stock/x", method="GET", request_id="s1")
-            assert answer.status == 200
-            fleet.store.put("servers", "p0", sound)
+            response = await fleet.ask("/stock/x", method="GET", request_id="s1")
+            assert response.status == 200
+            fleet.store.put("servers", "p0", valid)
             await trio.sleep(3)
-            answer = await fleet.ask("/stock/x", method="GET", request_id="s2")
-            assert answer.status == 200
+            response = await fleet.ask("/stock/x", method="GET", request_id="s2")
+            assert response.status == 200
             fleet.store.put("servers", "p0", RawValue(b"{nothing}"))
             await trio.sleep(3)
-            answer = await fleet.ask("/stock/x", method="GET", request_id="s3")
-            assert answer.status == 503
+            response = await fleet.ask("/stock/x", method="GET", request_id="s3")
+            assert response.status == 503
 
-    async def test_overwritten_state_is_no_word_of_leaving(self, autojump_clock):
+    async def test_overwritten_state_is_not_a_drain(self, autojump_clock):
         async with platform_system(plain=1) as fleet:
-            sound = fleet.servers["p0"].entry
-            fleet.store.put("servers", "p0", sound | {"state": "resting"})
+            valid = fleet.servers["p0"].entry
+            fleet.store.put("servers", "p0", valid | {"state": "resting"})
             await trio.sleep(SOON_S)
-            fleet.store.put("servers", "p0", sound)
+            fleet.store.put("servers", "p0", valid)
             await trio.sleep(SOON_S)
-            answer = await fleet.ask("/stock/x", method="GET")
-            assert answer.status == 200
+            response = await fleet.ask("/stock/x", method="GET")
+            assert response.status == 200
 
 
-async def watched_among(values: list) -> None:
-    """Let a node watch any values among sound entries."""
+async def watch_values(values: list) -> None:
+    """Let a node watch arbitrary values among valid entries."""
     async with platform_system(plain=1, models=0) as fleet:
         for number, value in enumerate(values):
             fleet.store.put("servers", f"x{number}", value)
@@ -185,11 +186,11 @@
         assert (await fleet.ask("/stock/x", method="GET")).status == 200
 
 
-class TestWholeWatch:
+class TestArbitraryValues:
     @settings(max_examples=25, deadline=None)
     @given(st.lists(JSON, min_size=1, max_size=4))
     def test_any_values(self, values):
-        trio.run(watched_among, values, clock=MockClock(autojump_threshold=0))
+        trio.run(watch_values, values, clock=MockClock(autojump_threshold=0))
 
 
 class TestConfiguration:
@@ -205,7 +206,7 @@
             RawValue(b'{"version": 9, "routes": [{"weight": 1e999}]}'),
         ],
     )
-    async def test_what_was_in_force_stays(self, autojump_clock, value):
+    async def test_current_version_stays_active(self, autojump_clock, value):
         async with platform_system(nodes=2) as fleet:
             fleet.store.put("config", "main", value)
             fleet.store.put("config", "other", value)
@@ -243,11 +244,11 @@
             RawValue(b'{"fencing": ' + b"9" * 5000 + b"}"),
         ],
     )
-    async def test_holder_goes_on(self, autojump_clock, value):
-        """Another writer overwrites the record of the duties' lease.
+    async def test_holder_keeps_the_lease(self, autojump_clock, value):
+        """Another writer overwrites the record of the duty lease.
 
-        Its holder keeps the lease and writes its record again; nobody takes it over,
-        and each window is told once.
+        The holder keeps the lease and writes its record again. No other node acquires
+        it, and each usage window is reported once.
         """
         async with platform_system(nodes=3, duties=["usage"]) as fleet:
             await trio.sleep(14)
@@ -272,8 +273,8 @@
             {"usage": {"window": 3, "counts": {"ada": []}}, "usage_kept": {"3": {}}},
         ],
     )
-    async def test_notes_that_cannot_be_read(self, autojump_clock, notes):
-        """The notes to the next holder are spoilt, and its node takes the lease."""
+    async def test_unreadable_notes(self, autojump_clock, notes):
+        """The notes for the next holder are corrupt when it acquires the lease."""
         async with platform_system(nodes=2, duties=["usage"]) as fleet:
             await trio.sleep(14)
             known = fleet.store.objects[LEASES][LEASE_NAME]["spec"]
@@ -294,14 +295,14 @@
         st.sampled_from(["holder", "fencing", "write_id", "duration_s", "notes"]), JSON
     )
     def test_any_field(self, name, value):
-        sound = LeaseRecord("n0/1", 3, "w", 2.0).to_value()
-        record = LeaseRecord.from_value(sound | {name: value})
+        valid = LeaseRecord("n0/1", 3, "w", 2.0).to_value()
+        record = LeaseRecord.from_value(valid | {name: value})
         if record is not None:
             assert record.duration_s > 0 and record.fencing + 1 > 0
 
     @given(JSON)
     def test_any_usage(self, value):
-        book = UsageBook("n0", 1, 5.0)
-        book.take_kept(value)
-        book.take_kept({"3": {"n1/2": value}})
+        book = UsageTracker("n0", 1, 5.0)
+        book.restore(value)
+        book.restore({"3": {"n1/2": value}})
         assert book.total(3, ["ada"])["ada"] >= 0
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from rosemaryknot.process.gateway_servers import FIRST_RATE
+from rosemaryknot.process.gateway_servers import INITIAL_PREFILL_RATE
 from rosemaryknot.process.server_state import PeerLoad
 from rosemaryknot.standin.users.system import (
     HOST,
@@ -342,13 +342,13 @@
         request of higher priority is admitted.
         """
         async with platform_system(configuration=self.configuration()) as fleet:
-            table = self.set_backlog(fleet, round(FIRST_RATE * 0.5))
+            table = self.set_backlog(fleet, round(INITIAL_PREFILL_RATE * 0.5))
             response = await fleet.ask("/plan/x", **MODEL_HEADERS)
             assert response.status == 503
             assert response.took_s < 0.1
             assert 0.3 < float(response.headers["retry-after"]) < 0.8
             assert not fleet.ledger.arrivals
-            assert fleet.nodes["n0"].quota.accounts["ada"].taken == 0
+            assert fleet.nodes["n0"].quota.accounts["ada"].acquired == 0
             assert (await fleet.ask("/ask/x", **MODEL_HEADERS)).status == 200
             assert table.rate_samples >= 100
 
@@ -369,7 +369,7 @@
     async def test_unreachable_deadline_is_refused_immediately(self, autojump_clock):
         """A request would get its first event after the deadline of its caller."""
         async with platform_system(configuration=self.configuration()) as fleet:
-            self.set_backlog(fleet, round(FIRST_RATE * 2.5))
+            self.set_backlog(fleet, round(INITIAL_PREFILL_RATE * 2.5))
             response = await fleet.ask("/ask/x", **MODEL_HEADERS)
             assert response.status == 503 and response.took_s < 0.1
 
@@ -380,7 +380,7 @@
         refused.
         """
         async with platform_system(configuration=self.configuration()) as fleet:
-            self.set_backlog(fleet, round(FIRST_RATE * 2.5)).rate_samples = 0
+            self.set_backlog(fleet, round(INITIAL_PREFILL_RATE * 2.5)).rate_samples = 0
             assert (await fleet.ask("/plan/x", **MODEL_HEADERS)).status == 200
 
 
