--- a/tests/gateway/test_scaling.py
+++ b/tests/gateway/test_scaling.py
@@ -1,4 +1,4 @@
-"""Tests of the sizes of services, ordered by a node in virtual time."""
+"""Tests of the scaling duty of a node, in virtual time."""
 
 import pytest
 import trio
@@ -14,8 +14,8 @@
 BOOT_S = 4.0
 
 
-def with_sizes():
-    """Return a configuration in which the model service's size may be set."""
+def scalable_configuration():
+    """Return a configuration that allows scaling of the model service."""
     configuration = document()
     configuration["services"][0]["scaling"] = {
         "minReplicas": 1,
@@ -29,9 +29,9 @@
 
 @pytest.fixture
 async def fleet():
-    """Return one node that has the sizes it wants: two reclaimable servers a zone."""
+    """Return one node at its desired size: two reclaimable servers per zone."""
     async with platform_system(
-        models=0, configuration=with_sizes(), duties=["usage", "scaling"]
+        models=0, configuration=scalable_configuration(), duties=["usage", "scaling"]
     ) as system:
         for number in range(6):
             zone = ZONES[number % 3]
@@ -42,7 +42,7 @@
 
 
 def orders_since(fleet, since_s):
-    """Return (time since, zone, on demand, count) of the orders that were given."""
+    """Return (time since, zone, on demand, count) of the orders that were sent."""
     return [
         (call.at_s - since_s, call.body["zone"], not call.body.get("spot"), wanted)
         for call in fleet.cloud.calls
@@ -52,14 +52,14 @@
 
 
 class TestReclaim:
-    async def test_servers_that_do_not_say_that_they_leave(self, autojump_clock, fleet):
-        """A zone is reclaimed; its servers' entries vanish without a word of leaving.
+    async def test_servers_that_do_not_announce_a_drain(self, autojump_clock, fleet):
+        """A zone is reclaimed; the entries of its servers vanish without a drain.
 
-        The cloud has no reclaimable ones there. Those that vanished counted as there
-        for two seconds, the refusal was answered a step later, and an on-demand server
-        takes four to boot: a second zone was reclaimed before it came.
+        The zone has no reclaimable capacity. The missing servers counted as running for
+        two seconds, the refusal was handled one step later, and an on-demand server
+        takes four seconds to boot: a second zone was reclaimed before it was running.
         """
-        fleet.cloud.faults.dry_zones.add("z1")
+        fleet.cloud.faults.exhausted_zones.add("z1")
         began_s = trio.current_time()
         for name in ("r1", "r4"):
             fleet.store.remove("servers", name)
@@ -71,8 +71,8 @@
     async def test_soon_after_an_order(self, autojump_clock, fleet):
         """A zone loses its servers three seconds after their last order.
 
-        They had come by then. Their place was filled only when an order had had the
-        time for a boot and four seconds more.
+        That order was already fulfilled, but the lost servers were replaced only after
+        the boot time of the order and four more seconds.
         """
         fleet.store.remove("servers", "r1")
         fleet.store.remove("servers", "r4")
@@ -87,10 +87,11 @@
         await trio.sleep(1.2)
         assert [order[1] for order in orders_since(fleet, began_s)] == ["z1"]
 
-    async def test_entries_lapse_in_an_outage(self, autojump_clock, fleet):
-        """Entries of all zones are gone at one moment, and back within two seconds.
+    async def test_entries_expire_in_an_outage(self, autojump_clock, fleet):
+        """Entries of all zones vanish together and return within two seconds.
 
-        They lapsed while the store was away; replaced, each server would be paid twice.
+        They expired while the store was unreachable. If the servers were replaced, each
+        of them would be paid for twice.
         """
         began_s = trio.current_time()
         entries = {name: fleet.servers[name].entry for name in ("r0", "r1", "r2")}
@@ -104,15 +105,16 @@
 
 
 class TestFirstTraffic:
-    async def test_servers_are_kept_for_the_first_wave(self, autojump_clock, fleet):
-        """Servers were given up in the first dip, and the cloud had none for the wave.
+    async def test_servers_are_retained_for_the_first_wave(self, autojump_clock, fleet):
+        """Traffic begins low, before the first wave.
 
-        Traffic begins low. What was ordered for it costs a fraction of others and is
-        kept as many times longer.
+        Servers were released in that trough, and the cloud had none for the wave. Those
+        ordered in advance cost a fraction of on-demand servers and are retained longer
+        by the inverse factor.
         """
         began_s = trio.current_time()
         for number in range(24):
             await fleet.ask("/plan/x", request_id=f"r{number}", **MODEL_HEADERS)
             await trio.sleep(0.5)
-        given_up = [order for order in orders_since(fleet, began_s) if order[3] < 2]
-        assert not given_up
+        released = [order for order in orders_since(fleet, began_s) if order[3] < 2]
+        assert not released
--- a/tests/gateway/test_server_restarts.py
+++ b/tests/gateway/test_server_restarts.py
@@ -1,4 +1,4 @@
-"""Tests of servers that start again under the id that they had."""
+"""Tests of servers that restart with the same id."""
 
 import os
 from functools import partial
@@ -8,15 +8,15 @@
 import trio
 
 from rosemaryknot.process.gateway_servers import ServerTable
-from rosemaryknot.process.hub_sums import HubBook
+from rosemaryknot.process.hub_aggregates import HubAggregator
 from rosemaryknot.process.logs import configure_logs
 from rosemaryknot.standin.users.system import MODEL_HEADERS, PLAIN, platform_system
-from rosemaryknot.values.gateway import ModelInput, PromptPart, RoutedServer
+from rosemaryknot.values.gateway import ModelInput, PromptSegment, RoutedServer
 from rosemaryknot.values.gateway_peers import HubReport, LoadReport
 from rosemaryknot.values.incarnation import ServerIncarnation
 from rosemaryknot.values.nodes import Address
 
-SIZE = ModelInput(1000, 50, (PromptPart("aa", 400), PromptPart("zz", 600)))
+SIZE = ModelInput(1000, 50, (PromptSegment("aa", 400), PromptSegment("zz", 600)))
 SOON_S = 0.2
 REFUSED = 503
 BAD_GATEWAY = 502
@@ -36,44 +36,45 @@
     )
 
 
-async def ask_stock(fleet, request_id, node="n0"):
+async def request_stock(fleet, request_id, node="n0"):
     return await fleet.ask("/stock/x", node, method="GET", request_id=request_id)
 
 
-async def ask_plan(fleet, request_id, node="n0"):
+async def request_plan(fleet, request_id, node="n0"):
     return await fleet.ask("/plan/x", node, request_id=request_id, **MODEL_HEADERS)
 
 
-class TestNewLife:
-    """What was believed of the life before ends with it, at once."""
+class TestNewIncarnation:
+    """The state of the previous incarnation is dropped immediately."""
 
-    async def test_keeps_no_prompts(self, autojump_clock):
-        """A model server has read prompts of two gateways and starts again.
+    async def test_has_no_cached_prompts(self, autojump_clock):
+        """A model server has cached prompts of two gateways and restarts.
 
-        It keeps nothing; believed to, it would draw prompts that it has to read anew.
+        Its cache is empty. If its prefixes were still assumed to be cached, prompts
+        would be routed to it and recomputed.
         """
         async with platform_system(nodes=2, models=1) as fleet:
-            await ask_plan(fleet, "r1")
+            await request_plan(fleet, "r1")
             await trio.sleep(SOON_S)
             for node in fleet.nodes.values():
                 table = node.state.servers
-                assert table.kept.tokens(table.by_id["m0"], SIZE) == 400
+                assert table.cached.tokens(table.by_id["m0"], SIZE) == 400
             await fleet.restart_server("m0")
             await trio.sleep(SOON_S)
             for node in fleet.nodes.values():
                 table = node.state.servers
-                assert table.kept.tokens(table.by_id["m0"], SIZE) == 0
+                assert table.cached.tokens(table.by_id["m0"], SIZE) == 0
 
-    async def test_owes_nothing(self, autojump_clock):
-        """A server starts again twice within a heartbeat, with a stream on it.
+    async def test_has_no_pending_requests(self, autojump_clock):
+        """A server restarts twice within a heartbeat, with a stream on it.
 
-        The stream breaks. The new life has no requests and no unread tokens, before
-        and after the attempt at the old one has ended, at both gateways.
+        The stream is aborted. At both gateways, the new incarnation has no requests and
+        no pending prefill tokens, before and after the attempt at the old one ends.
         """
         async with platform_system(nodes=2, models=1) as fleet:
             fleet.servers["m0"].work_s = 0.5
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask_plan, fleet, "r1")
+                nursery.start_soon(request_plan, fleet, "r1")
                 await trio.sleep(SOON_S)
                 assert state_of(fleet, "m0", "n1").load()[0] == 1
                 await fleet.restart_server("m0")
@@ -84,11 +85,11 @@
             assert state_of(fleet, "m0").load() == (0, 0)
             assert fleet.ledger.runs_of("r1") == 1
 
-    async def test_is_sound(self, autojump_clock):
-        """The only server of a service resets requests, then starts again.
+    async def test_has_no_failures(self, autojump_clock):
+        """The only server of a service resets requests, then restarts.
 
-        Its failures in a row belong to the life before: the new one gets requests at
-        once, and not after the pause for the other.
+        Its consecutive failures belong to the previous incarnation: the new one gets
+        requests immediately and not after the backoff for the previous one.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].faults.extend(["reset"] * 8)
@@ -98,32 +99,33 @@
             await fleet.restart_server("p0")
             await trio.sleep(SOON_S)
             state = state_of(fleet, "p0")
-            assert (state.failures, state.failure_share, state.avoid_until_s) == (
+            assert (state.failures, state.failure_share, state.backoff_until_s) == (
                 0,
                 0.0,
                 0.0,
             )
-            assert (await ask_stock(fleet, "s1")).status == 200
+            assert (await request_stock(fleet, "s1")).status == 200
 
-    async def test_takes_work_though_the_last_one_left(self, autojump_clock):
-        """A server says that it leaves, crashes in its drain and is ready again.
+    async def test_accepts_requests_after_a_drain(self, autojump_clock):
+        """A server announces a drain, crashes while draining and is ready again.
 
-        The mark of leaving is never taken back in one life; for the next one it would
-        leave a sound server idle for good.
+        The announced drain is never reset within one incarnation. If it applied to the
+        next one, a working server would stay idle indefinitely.
         """
         async with platform_system(plain=1) as fleet:
             entry = fleet.servers["p0"].entry | {"state": "draining"}
             fleet.store.put("servers", "p0", entry)
             await trio.sleep(SOON_S)
-            assert (await ask_stock(fleet, "s1")).status == REFUSED
+            assert (await request_stock(fleet, "s1")).status == REFUSED
             await fleet.restart_server("p0")
             await trio.sleep(SOON_S)
-            assert (await ask_stock(fleet, "s2")).status == 200
+            assert (await request_stock(fleet, "s2")).status == 200
 
     async def test_after_an_outage(self, autojump_clock):
-        """A server starts again while the store is away, and its entry lapses.
+        """A server restarts while the store is unreachable, and its entry expires.
 
-        The list after the outage holds the new life, which replaces the old one.
+        The list after the outage contains the new incarnation, which replaces the
+        previous one.
         """
         async with platform_system(plain=1, nodes=2) as fleet:
             before = state_of(fleet, "p0")
@@ -138,16 +140,16 @@
                 assert state_of(fleet, "p0", name).incarnation.is_newer_than(
                     before.incarnation
                 )
-                assert (await ask_stock(fleet, f"s-{name}", name)).status == 200
+                assert (await request_stock(fleet, f"s-{name}", name)).status == 200
 
     async def test_gets_connections_of_its_own(self, autojump_clock):
-        """A machine loses power without a sign and its server starts again.
+        """A machine loses power without closing connections and its server restarts.
 
-        Connections that were kept to it lead nowhere. Requests that were sent on them
-        waited for an answer until they were tried elsewhere.
+        The idle connections to it are dead. Requests that were sent on them waited for
+        a response until they were retried at another server.
         """
         async with platform_system(plain=1) as fleet:
-            await ask_stock(fleet, "s1")
+            await request_stock(fleet, "s1")
             pool = fleet.nodes["n0"].pool
             assert pool.idle[state_of(fleet, "p0").incarnation]
             fleet.network.silence("10.2.0.1", "10.1.0.1")
@@ -155,46 +157,46 @@
             entry = entry | {"born": entry["born"] + 1}
             fleet.store.put("servers", "p0", entry)
             await trio.sleep(0.02)
-            answer = await ask_stock(fleet, "s2")
-            assert (answer.status, answer.took_s < 0.1) == (200, True)
+            response = await request_stock(fleet, "s2")
+            assert (response.status, response.took_s < 0.1) == (200, True)
             await trio.sleep(1)
             assert set(pool.idle) == {state_of(fleet, "p0").incarnation}
 
 
-class TestUnderWay:
-    """Requests at a server that starts again."""
+class TestRequestsInFlight:
+    """Requests in flight at a server that restarts."""
 
     async def test_may_have_run(self, autojump_clock):
-        """The only server starts again with a request on it that must not run twice.
+        """The only server restarts with a request on it that must not run twice.
 
-        The request may have run. It is not sent to the new life, and its caller is
-        told nothing that would let it be sent again.
+        The request may have run. It is not sent to the new incarnation, and the
+        response to its caller does not allow it to be sent again.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].work_s = 1.0
-            answers = []
+            responses = []
 
             async def book():
-                answers.append(await fleet.ask("/book/x", request_id="b1"))
+                responses.append(await fleet.ask("/book/x", request_id="b1"))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(book)
                 await trio.sleep(SOON_S)
                 await fleet.restart_server("p0")
-            assert answers[0].status == BAD_GATEWAY
+            assert responses[0].status == BAD_GATEWAY
             assert fleet.ledger.runs_of("b1") == 1
 
-    async def test_may_be_tried_at_the_next_life(self, autojump_clock):
-        """The only server starts again with a request on it that may run again.
+    async def test_may_be_retried_at_the_next_incarnation(self, autojump_clock):
+        """The only server restarts with a request on it that may run again.
 
-        The new life was not asked yet, though its id was.
+        No attempt was made at the new incarnation, although one was made at its id.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].work_s = 1.0
-            answers = []
+            responses = []
 
             async def stock():
-                answers.append(await ask_stock(fleet, "s1"))
+                responses.append(await request_stock(fleet, "s1"))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(stock)
@@ -206,61 +208,62 @@
                 await trio.sleep(0.02)
                 old.work_s = 0.02
                 fleet.network.kill_streams("10.1.0.1")
-            assert answers[0].status == 200
+            assert responses[0].status == 200
 
-    async def test_stream_goes_on_elsewhere(self, autojump_clock):
+    async def test_stream_resumes_at_another_server(self, autojump_clock):
         async with platform_system(models=2) as fleet:
             for server in fleet.servers.values():
                 server.work_s = 0.1
-            answers = []
+            responses = []
 
-            async def ask():
-                answers.append(
+            async def send():
+                responses.append(
                     await fleet.ask("/ask/x", request_id="a1", **MODEL_HEADERS)
                 )
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(send)
                 await trio.sleep(0.35)
                 [used] = [s for s in ("m0", "m1") if fleet.servers[s].arrivals]
                 await fleet.restart_server(used)
-            assert answers[0].is_whole
-            assert answers[0].body.count(b"data:") == 10
+            assert responses[0].is_whole
+            assert responses[0].body.count(b"data:") == 10
 
-    async def test_silent_stream_goes_on_elsewhere(self, autojump_clock):
-        """A machine loses power in a stream and its server starts again.
+    async def test_silent_stream_resumes_at_another_server(self, autojump_clock):
+        """A machine loses power during a stream and its server restarts.
 
-        Nothing resets the stream's connection; it was waited on until the caller left.
+        The connection of the stream is not reset; the gateway waited on it until the
+        caller disconnected.
         """
         async with platform_system(models=2) as fleet:
             for server in fleet.servers.values():
                 server.work_s = 0.1
-            answers = []
+            responses = []
 
-            async def ask():
+            async def send():
                 options = MODEL_HEADERS | {"Rosemaryknot-Deadline-Ms": "9000"}
-                answers.append(await fleet.ask("/ask/x", request_id="a1", **options))
+                responses.append(await fleet.ask("/ask/x", request_id="a1", **options))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(send)
                 await trio.sleep(0.35)
                 [used] = [s for s in ("m0", "m1") if fleet.servers[s].arrivals]
                 entry = fleet.servers[used].entry
                 fleet.network.silence("10.2.0.1", entry["address"].split(":")[0])
                 entry = entry | {"born": entry["born"] + 1}
                 fleet.store.put("servers", used, entry)
-            assert answers[0].is_whole
-            assert answers[0].took_s < 2.5
+            assert responses[0].is_whole
+            assert responses[0].took_s < 2.5
 
-    async def test_stream_that_flows_is_left_alone(self, autojump_clock):
-        """Another writer writes a later birth over the entry of a busy server."""
+    async def test_active_stream_continues(self, autojump_clock):
+        """Another writer stores a later birth time in the entry of a busy server."""
         async with platform_system(models=1) as fleet:
             fleet.servers["m0"].work_s = 0.2
-            answers = []
+            responses = []
 
             async def plan():
                 options = MODEL_HEADERS | {"Rosemaryknot-Deadline-Ms": "9000"}
-                answers.append(await fleet.ask("/plan/x", request_id="a1", **options))
+                responses.append(await fleet.ask("/plan/x", request_id="a1", **options))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(plan)
@@ -268,13 +271,15 @@
                 entry = fleet.servers["m0"].entry
                 entry = entry | {"born": entry["born"] + 1}
                 fleet.store.put("servers", "m0", entry)
-            assert answers[0].is_whole
+            assert responses[0].is_whole
 
-    async def test_tells_nothing_of_the_next_life(self, autojump_clock):
-        """A request at a mute server ends after the server has started again.
+    async def test_failure_does_not_count_for_the_next_incarnation(
+        self, autojump_clock
+    ):
+        """A request to an unresponsive server ends after the server has restarted.
 
-        Its time passed without a byte, which speaks against the life that it was
-        sent to and not against the next one.
+        Its deadline passed without a byte, which counts as a failure of the incarnation
+        that it was sent to and not of the next one.
         """
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].is_mute = True
@@ -291,13 +296,13 @@
             assert (old.load(), state_of(fleet, "p0").load()) == ((0, 0), (0, 0))
 
 
-class TestLateWord:
-    """A word of the life before changes nothing for the new one."""
+class TestLateMessages:
+    """Late messages of the previous incarnation do not affect the new one."""
 
     async def test_entry(self, autojump_clock):
-        """A write of the old life, sent before its end, is carried out seconds later.
+        """A write of the previous incarnation takes effect seconds after its end.
 
-        It would bring the old address and the mark of leaving back.
+        If applied, it would restore the previous address and the draining state.
         """
         async with platform_system(plain=1) as fleet:
             old = fleet.servers["p0"].entry
@@ -309,7 +314,7 @@
                 fleet.store.put("servers", "p0", entry)
                 await trio.sleep(SOON_S)
                 assert not state_of(fleet, "p0").is_leaving
-                assert (await ask_stock(fleet, "s1")).status == 200
+                assert (await request_stock(fleet, "s1")).status == 200
 
     async def test_entry_in_a_list(self, autojump_clock):
         async with platform_system(plain=1) as fleet:
@@ -334,14 +339,14 @@
                 await trio.sleep(SOON_S)
                 for _ in range(3):
                     await fleet.nodes["n0"].followers["servers"].list_all()
-            left_alone = [x for x in lines if "left alone" in x["event"]]
-            assert len(left_alone) == 1
-            assert "of no newer life" in left_alone[0]["reason"]
+            ignored = [x for x in lines if "left alone" in x["event"]]
+            assert len(ignored) == 1
+            assert "no newer incarnation" in ignored[0]["reason"]
 
     async def test_of_peers(self, autojump_clock):
-        """A gateway still tells its load and its prompts at the old life."""
+        """A gateway still reports its load and prompts at the previous incarnation."""
         async with platform_system(models=1) as fleet:
-            old = state_of(fleet, "m0").told_as
+            old = state_of(fleet, "m0").incarnation_key
             await trio.sleep(1)
             await fleet.restart_server("m0")
             await trio.sleep(SOON_S)
@@ -351,22 +356,24 @@
             table = fleet.nodes["n0"].state.servers
             state = state_of(fleet, "m0")
             assert state.load() == (0, 0)
-            assert table.kept.tokens(state, SIZE) == 0
-            told = LoadReport("n9", {state.told_as: [2, 30]}, [["aa", state.told_as]])
-            await exchange.handle_load(told, None)
+            assert table.cached.tokens(state, SIZE) == 0
+            current = LoadReport(
+                "n9", {state.incarnation_key: [2, 30]}, [["aa", state.incarnation_key]]
+            )
+            await exchange.handle_load(current, None)
             assert state.load() == (2, 30)
-            assert table.kept.tokens(state, SIZE) == 400
-
-    def test_in_sums_of_hubs(self):
-        """Two gateways report loads at two lives of one server, which are not added."""
-        book = HubBook("n0", 1)
-        book.take_report(HubReport("n1", 1, 1, 1, loads={"m0@5": [3, 100]}), 0.0)
-        book.take_report(HubReport("n2", 1, 1, 1, loads={"m0@8": [1, 20]}), 0.0)
-        loads = book.here_sum(0.1, 0.0).loads
+            assert table.cached.tokens(state, SIZE) == 400
+
+    def test_in_aggregates_of_hubs(self):
+        """Loads reported at two incarnations of one server are not added."""
+        book = HubAggregator("n0", 1)
+        book.apply_report(HubReport("n1", 1, 1, 1, loads={"m0@5": [3, 100]}), 0.0)
+        book.apply_report(HubReport("n2", 1, 1, 1, loads={"m0@8": [1, 20]}), 0.0)
+        loads = book.local_aggregate(0.1, 0.0).loads
         assert loads == {"m0@5": [3, 100], "m0@8": [1, 20]}
 
     async def test_after_the_end(self, autojump_clock):
-        """The new life has left too when a late write of the old one is carried out."""
+        """A late write takes effect after the new incarnation was removed too."""
         async with platform_system(plain=2) as fleet:
             old = fleet.servers["p0"].entry
             await trio.sleep(1)
@@ -381,14 +388,14 @@
 
 
 class TestTable:
-    """What the table takes over, entry by entry."""
+    """Entries that the table applies or ignores."""
 
-    async def test_order_of_lives(self, autojump_clock):
+    async def test_order_of_incarnations(self, autojump_clock):
         table = ServerTable()
         assert not table.put(entry_of(None))
         assert not table.put(entry_of(None, is_leaving=True))
         assert table.by_id["p0"].is_leaving
-        # Software that tells its birth, started again.
+        # Restarted with software that reports a birth time.
         assert not table.put(entry_of(100))
         assert not table.by_id["p0"].is_leaving
         assert table.put(entry_of(99, is_leaving=True))
@@ -397,10 +404,10 @@
         assert not table.put(entry_of(101))
         assert table.by_id["p0"].entry.born == 101
 
-    async def test_same_life_comes_back(self, autojump_clock):
-        """An entry lapses for longer than it is waited for, and is written again.
+    async def test_same_incarnation_returns(self, autojump_clock):
+        """An entry is missing for longer than its timeout and is written again.
 
-        It is the same life: what it said and what it keeps holds.
+        It is the same incarnation: its announced drain and cached prompts still apply.
         """
         table = ServerTable()
         table.put(entry_of(100, is_leaving=True))
@@ -408,13 +415,13 @@
         table.remove("p0")
         assert "p0" not in table.by_id
         table.put(entry_of(100))
-        assert table.by_id["p0"] is state and state.has_drained
+        assert table.by_id["p0"] is state and state.has_announced_drain
 
     @pytest.mark.parametrize("born", [None, 100])
-    async def test_keeps_its_prompts_over_a_lapse(self, autojump_clock, born):
-        """An outage takes an entry away for longer than it is waited for.
+    async def test_cached_prompts_survive_an_expired_entry(self, autojump_clock, born):
+        """In an outage an entry is missing for longer than its timeout.
 
-        The server lived all the time, and its sessions' prompts are read there.
+        The server was running all the time and has the prompts of its sessions cached.
         """
         table = ServerTable()
         table.put(entry_of(born))
@@ -422,15 +429,15 @@
         table.end(table.by_id["p0"], 0)
         table.remove("p0")
         await trio.sleep(5)
-        table.tidy()
+        table.clean_up()
         assert "p0" not in table.by_id
         table.put(entry_of(born))
-        assert table.kept.tokens(table.by_id["p0"], SIZE) == 400
+        assert table.cached.tokens(table.by_id["p0"], SIZE) == 400
 
-    async def test_leaving_without_a_number(self, autojump_clock):
-        """A server that tells no birth has left, and is there again under its id.
+    async def test_drain_without_a_birth_time(self, autojump_clock):
+        """A server that reports no birth time drains and then returns with its id.
 
-        It cannot be told whether it started again; as before, it gets work.
+        Whether it has restarted is unknown; it gets requests, as with older software.
         """
         table = ServerTable()
         table.put(entry_of(None, is_leaving=True))
@@ -438,8 +445,8 @@
         table.put(entry_of(None))
         assert not table.by_id["p0"].is_leaving
 
-    async def test_without_numbers(self, autojump_clock):
-        """Older software tells no birth; all that its server writes is of one life."""
+    async def test_without_birth_times(self, autojump_clock):
+        """Older software reports no birth time; all its entries are one incarnation."""
         async with platform_system(plain=0) as fleet:
             await fleet.add_server("p0", PLAIN, born=None)
             await trio.sleep(SOON_S)
@@ -447,12 +454,12 @@
             await fleet.restart_server("p0")
             await trio.sleep(SOON_S)
             assert state_of(fleet, "p0") is state
-            assert (await ask_stock(fleet, "s1")).status == 200
+            assert (await request_stock(fleet, "s1")).status == 200
 
 
 @pytest.fixture
 def info_lines():
-    """Capture info lines too, and go back to the usual level afterwards."""
+    """Capture log lines of level info, and restore the usual level afterwards."""
     null = os.open(os.devnull, os.O_WRONLY)
     configure_logs(level="info", fd=null)
     with structlog.testing.capture_logs() as lines:
@@ -462,7 +469,9 @@
 
 
 class TestLogs:
-    async def test_failed_request_tells_the_life(self, autojump_clock, info_lines):
+    async def test_failed_request_logs_the_incarnation(
+        self, autojump_clock, info_lines
+    ):
         async with platform_system(plain=1) as fleet:
             fleet.servers["p0"].faults.append("reset")
             await fleet.ask("/book/x", request_id="b1")
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -33,7 +33,7 @@
         assert (request.id, request.host, request.path) == ("r1", "a.example", "/a/b")
         assert (request.key, request.patience_s) == ("k1", 1.5)
         assert request.size.prompt_tokens == 1460
-        assert [part.id for part in request.size.parts] == ["5c1e", "91bd", "e440"]
+        assert [part.id for part in request.size.segments] == ["5c1e", "91bd", "e440"]
 
     def test_what_goes_on(self):
         names = dict(PlatformWire().server_headers(read(), SERVER, "ada", 1.2, 3, b"7"))
--- a/tests/process/test_gateway_documents.py
+++ b/tests/process/test_gateway_documents.py
@@ -1,4 +1,4 @@
-"""Tests of configurations as gateways pass them on."""
+"""Tests of the encoding of configurations sent between gateways."""
 
 import random
 
@@ -6,16 +6,16 @@
 import zstandard
 
 from rosemaryknot.process.gateway_documents import (
-    MAX_BYTES,
+    MAX_DOCUMENT_BYTES,
     Document,
     DocumentError,
     difference,
-    rebuilt,
+    rebuild,
 )
 
 
 def value_of(routes: int, version: int = 1) -> dict:
-    """Return a configuration of drawn routes; more of them begin with the same."""
+    """Return a configuration of random routes; larger ones share their first routes."""
     rng = random.Random(1)
     names = [rng.randbytes(5).hex() for _ in range(routes)]
     return {
@@ -36,11 +36,11 @@
         document = Document.of(2, 11, value)
         packed = difference(document, base)
         assert len(packed) < 300
-        assert rebuilt(packed, base) == document.packed
+        assert rebuild(packed, base) == document.packed
 
     def test_whole_document_needs_no_base(self):
         document = Document.of(2, 11, value_of(100))
-        assert rebuilt(difference(document, None), None) == document.packed
+        assert rebuild(difference(document, None), None) == document.packed
 
     def test_equal_values_have_equal_digests(self):
         one, other = Document.of(1, 1, value_of(9)), Document.of(1, 5, value_of(9))
@@ -53,9 +53,9 @@
             b"",
             b"no document",
             zstandard.compress(bytes(1000))[:-4],
-            zstandard.compress(bytes(MAX_BYTES + 1)),
+            zstandard.compress(bytes(MAX_DOCUMENT_BYTES + 1)),
         ],
     )
     def test_other_bytes_are_refused(self, packed):
         with pytest.raises(DocumentError):
-            rebuilt(packed, None)
+            rebuild(packed, None)
--- a/tests/process/test_servers.py
+++ b/tests/process/test_servers.py
@@ -1,4 +1,4 @@
-"""Tests of the table of backend servers and of its watch over the platform."""
+"""Tests of the table of backend servers and of the platform watch."""
 
 from random import Random
 
@@ -34,11 +34,11 @@
 
 
 class TestServerTable:
-    async def test_mark_is_never_taken_back(self, autojump_clock):
-        """A notice arrives, and the lagging list calls the instance live on.
+    async def test_mark_is_never_reverted(self, autojump_clock):
+        """A notice arrives, and the lagging list still reports the instance as live.
 
-        Were the list believed, new work would go to a machine that vanishes in
-        seconds. With the safeguard off it does.
+        If the list were applied, new requests would be sent to a machine that is
+        reclaimed within seconds. This happens with the safeguard disabled.
         """
         for leaving_mark, chosen in ((False, ["e1", "e2"]), (True, ["e2"])):
             table = ServerTable(Safeguards(leaving_mark=leaving_mark))
@@ -63,11 +63,11 @@
         assert table.get("e1").state == "terminated"
 
     async def test_short_absence(self, autojump_clock):
-        """The list leaves a server out once, or comes back empty from a sick platform.
+        """The list omits a server for a short time, or a failing platform lists none.
 
-        Neither proves that the server is gone; only staying away does.
+        Neither proves that the server was terminated; only a lasting absence does.
         """
-        table = ServerTable(absent_s=6)
+        table = ServerTable(absence_timeout_s=6)
         both = [server("e1"), server("e2")]
         table.apply_list(both)
         await trio.sleep(60)
@@ -79,13 +79,13 @@
         await list_each_second(table, [server("e2")], 7)
         assert names(table.servers_of("chat")) == ["e2"]
 
-    async def test_gone_server_among_peers(self, autojump_clock):
-        """Two processes push their tables to each other while a server is gone.
+    async def test_removed_server_among_peers(self, autojump_clock):
+        """Two processes push their tables to each other after a server was removed.
 
-        If each took the other's push for a fresh list, they would keep the dead
-        server alive between them for ever.
+        If each treated the other's push as a current list, they would report the
+        terminated server to each other indefinitely.
         """
-        tables = [ServerTable(absent_s=6), ServerTable(absent_s=6)]
+        tables = [ServerTable(absence_timeout_s=6), ServerTable(absence_timeout_s=6)]
         for table in tables:
             table.apply_list([server("e1"), server("e2")])
         for second in range(20):
@@ -100,9 +100,9 @@
             assert names(table.servers_of("chat")) == ["e2"]
 
     async def test_memory_of_marks_is_bounded(self, autojump_clock):
-        """Reclaims go on for days while peers repeat their marks to each other."""
-        tables = [ServerTable(marks=ServerMarks(forget_s=60)) for _ in range(2)]
-        most = 0
+        """Servers are reclaimed for days while peers exchange their marks."""
+        tables = [ServerTable(marks=ServerMarks(ttl_s=60)) for _ in range(2)]
+        max_marks = 0
         for number in range(500):
             tables[0].mark_leaving(f"e{number}", 0.0, "notice")
             for sender, receiver in (tables, tables[::-1]):
@@ -110,9 +110,9 @@
                     receiver.apply_mark(mark)
             for table in tables:
                 table.apply_list([server("other")])
-                most = max(most, len(table.marks.by_instance))
+                max_marks = max(max_marks, len(table.marks.by_instance))
             await trio.sleep(1)
-        assert 50 < most < 70
+        assert 50 < max_marks < 70
 
     async def test_wait_changed(self, autojump_clock, nursery):
         table = ServerTable()
@@ -148,7 +148,7 @@
 
 class TestPlatformWatch:
     async def test_notice_before_list(self, bench, nursery, autojump_clock):
-        """A reclaim with a list that lags 10 s: the notice alone is in time."""
+        """A server is reclaimed while the list lags by 10 s: only the notice helps."""
         watch, platform, _ = bench
         platform.faults.list_lag_s = 10
         nursery.start_soon(watch.run)
@@ -160,10 +160,10 @@
             assert names(watch.table.servers_of("chat")) == ["e2"]
 
     async def test_silent_notices(self, bench, nursery, autojump_clock):
-        """The notice connection goes silent, then a reclaim starts.
+        """The notice connection goes silent before a server is reclaimed.
 
-        The watch ends by its idle bound and a new one starts with the open notices;
-        until then the node relies on its peers.
+        The watch ends at its idle timeout and a new one starts with the open notices.
+        Until then the node relies on its peers.
         """
         watch, platform, network = bench
         platform.faults.list_lag_s = 60
@@ -176,20 +176,20 @@
 
     @pytest.mark.parametrize("outage", ["refuse", "silent"])
     async def test_outage(self, bench, nursery, autojump_clock, outage):
-        """The platform is out for two minutes and a server is reclaimed meanwhile.
+        """The platform is down for two minutes, during which a server is reclaimed.
 
-        The known servers stay, the platform is asked seldom, and soon after its
-        return the table is right again.
+        The known servers are retained, the platform is polled rarely, and the table is
+        correct soon after the platform is reachable again.
         """
         watch, platform, _ = bench
         nursery.start_soon(watch.run)
         await trio.sleep(3)
         platform.faults.outage = outage
         await trio.sleep(10)
-        before = sum(platform.calls.values())
+        calls_before = sum(platform.calls.values())
         await trio.sleep(110)
         assert names(watch.table.servers_of("chat")) == ["e1", "e2"]
-        assert sum(platform.calls.values()) - before < 110
+        assert sum(platform.calls.values()) - calls_before < 110
         platform.cloud.terminate("e1")
         platform.faults.outage = ""
         await trio.sleep(20)
@@ -208,9 +208,9 @@
         assert platform.calls["notices"] == 1
         is_watcher = False
         await trio.sleep(2)
-        before = sum(platform.calls.values())
+        calls_before = sum(platform.calls.values())
         await trio.sleep(60)
-        assert sum(platform.calls.values()) == before
+        assert sum(platform.calls.values()) == calls_before
 
 
 class TestBackoff:
--- a/tests/process/test_servers_spread.py
+++ b/tests/process/test_servers_spread.py
@@ -31,7 +31,7 @@
 
 def new_spread():
     rng = random.Random(1)
-    return ServersSpread(ServerTable(absent_s=6), FakePeers(), Handlers(), rng)
+    return ServersSpread(ServerTable(absence_timeout_s=6), FakePeers(), Handlers(), rng)
 
 
 async def compare(asking, asked):
--- a/tests/request/relay_fleet.py
+++ b/tests/request/relay_fleet.py
@@ -39,7 +39,7 @@
 
     def __init__(self, move_policy="planned_moves", moves_kv=True, **safeguards):
         self.network = MemoryNetwork("10.0.0.1")
-        self.servers = ServerTable(Safeguards(**safeguards), absent_s=1e9)
+        self.servers = ServerTable(Safeguards(**safeguards), absence_timeout_s=1e9)
         self.engines: dict[str, EngineStandIn] = {}
         self.backends: dict[str, BackendServer] = {}
         holder = ConfigurationHolder(ConfigurationView.from_document)
--- a/tests/request/test_gateway_placement.py
+++ b/tests/request/test_gateway_placement.py
@@ -16,11 +16,11 @@
 )
 from rosemaryknot.standin.peak import play_peak
 from rosemaryknot.standin.peak_load import PAUSING, Load, Way
-from rosemaryknot.values.gateway import ModelInput, PromptPart, RoutedServer
+from rosemaryknot.values.gateway import ModelInput, PromptSegment, RoutedServer
 from rosemaryknot.values.incarnation import ServerIncarnation
 from rosemaryknot.values.nodes import Address
 
-SIZE = ModelInput(3000, 100, (PromptPart("own", 3000),))
+SIZE = ModelInput(3000, 100, (PromptSegment("own", 3000),))
 SERVERS = 32
 GATEWAYS = 91
 SAMPLING_POLICIES = [("unread_tokens_of_drawn", SIZE), ("least_busy_of_drawn", None)]
@@ -98,7 +98,7 @@
 
 def servers_chosen(count, prompt_tokens, long_share, **options):
     candidates = [candidate(n, **options) for n in range(count)]
-    size = ModelInput(prompt_tokens, 100, (PromptPart("own", prompt_tokens),))
+    size = ModelInput(prompt_tokens, 100, (PromptSegment("own", prompt_tokens),))
     return {
         POLICIES["unread_tokens"](
             PlacementInput(
@@ -141,7 +141,7 @@
     def test_sampled_servers_match_prompt_length(self):
         """With delayed load data a sample of each group of servers is compared."""
         candidates = [candidate(n) for n in range(SERVERS)]
-        size = ModelInput(20_000, 100, (PromptPart("own", 20_000),))
+        size = ModelInput(20_000, 100, (PromptSegment("own", 20_000),))
         chosen = {
             POLICIES["unread_tokens_of_drawn"](
                 PlacementInput("a", size, candidates, random.Random(seed), 30_000, 0.25)
--- a/tests/request/test_plain.py
+++ b/tests/request/test_plain.py
@@ -172,7 +172,7 @@
     async def test_ejects_and_takes_back(self, autojump_clock):
         health, servers = ServerHealth(), [server("a"), server("b"), server("c")]
         for _ in range(3):
-            health.note_failure("a")
+            health.record_failure("a")
         assert [s.instance for s in health.usable(servers)] == ["b", "c"]
         await trio.sleep(5.0)
         assert len(health.usable(servers)) == 3
@@ -182,7 +182,7 @@
         health, servers = ServerHealth(), [server(name) for name in "abcd"]
         for name in "abcd":
             for _ in range(3):
-                health.note_failure(name)
+                health.record_failure(name)
             await trio.sleep(0.1)
         assert [s.instance for s in health.usable(servers)] == ["a", "b"]
 
--- a/tests/request/test_routes.py
+++ b/tests/request/test_routes.py
@@ -121,13 +121,13 @@
         for _ in range(5):
             load.began(100)
         load.report = LoadReport(2, 0, 32, 3.0, 1000, trio.current_time())
-        assert load.requests_now() == 7
+        assert load.current_requests() == 7
         await trio.sleep(1)
         load.report = LoadReport(7, 0, 32, 3.0, 1000, trio.current_time())
-        assert load.requests_now() == 7
+        assert load.current_requests() == 7
         for _ in range(5):
             load.ended()
-        assert load.requests_now() == 2
+        assert load.current_requests() == 2
 
     async def test_reports_are_polled(self, nursery, autojump_clock):
         fleet = await Fleet().start(nursery, "waco-a", slots=7)
@@ -140,7 +140,7 @@
         blocks = prompt_blocks(["beam " * 500])
         estimate = PrefixEstimate()
         assert estimate.guess(blocks, 0.0).share == 0
-        estimate.note_sent(blocks, 0.0)
+        estimate.record_sent(blocks, 0.0)
         fresh = estimate.guess(blocks, 0.0)
         assert fresh.share == 1
         assert estimate.guess(blocks, 120.0).share == pytest.approx(0.5)
@@ -154,7 +154,7 @@
     def test_memory_is_bounded(self):
         estimate = PrefixEstimate(max_entries=10)
         for number in range(50):
-            estimate.note_sent([number], float(number))
+            estimate.record_sent([number], float(number))
         assert list(estimate.used_s) == list(range(40, 50))
 
 
