--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -61,7 +61,7 @@
     base = agent.holder.number
     await agent.submit(base, 3 + base % 2)
     accepted_s = trio.current_time()
-    await region.until(base + 1)
+    await region.wait_active(base + 1)
     await trio.sleep(BETWEEN_S)
     return [
         time_s - accepted_s
@@ -101,14 +101,14 @@
 
 async def measure_partition(region: Region) -> float:
     """Return the seconds from a partition's end until a change is in force."""
-    region.cut_off("temple-c")
+    region.partition_zone("temple-c")
     await trio.sleep(CUT_S)
     agent = region.agents[0]
     number = agent.holder.number
     await agent.submit(number, 5)
     await trio.sleep(CUT_S)
-    region.cut_off("temple-c", heal=True)
-    return round(await region.until(number + 1), 3)
+    region.partition_zone("temple-c", heal=True)
+    return round(await region.wait_active(number + 1), 3)
 
 
 async def measure(region: Region, options: argparse.Namespace) -> dict:
--- a/benchmarks/limit_costs.py
+++ b/benchmarks/limit_costs.py
@@ -106,7 +106,7 @@
     entry = EntryBudgets(Node("zone-0-0", "zone-0", 1), SimpleNamespace(call=call))
     started_s = time.process_time()
     for _ in range(ROUNDS):
-        charge = await entry.take("estimator-1", "kit-assistant", limit, TOKENS)
+        charge = await entry.acquire("estimator-1", "kit-assistant", limit, TOKENS)
         charge.settle(TOKENS)
     return (time.process_time() - started_s) / ROUNDS * 1e6
 
@@ -117,11 +117,11 @@
     loads = [ServerLoad(report) for _ in range(ENGINES)]
     queue = EngineQueue(lambda service: engine_capacity(loads))
     for _ in range(4):
-        await queue.enter("estimator-1", "kit-assistant", TOKENS, True, LATER_S)
+        await queue.acquire("estimator-1", "kit-assistant", TOKENS, True, LATER_S)
     started_s = time.process_time()
     for _ in range(ROUNDS):
-        place = await queue.enter("estimator-1", "kit-assistant", 1.0, True, LATER_S)
-        place.leave()
+        permit = await queue.acquire("estimator-1", "kit-assistant", 1.0, True, LATER_S)
+        permit.release()
     return (time.process_time() - started_s) / ROUNDS * 1e6
 
 
--- a/benchmarks/planned_stop.py
+++ b/benchmarks/planned_stop.py
@@ -16,10 +16,13 @@
 import trio
 from stop_deployment import KINDS, STOPS, ZONES, Deployment, Kind, start_deployment
 
-import rosemaryknot.process.planned_stop as stop_module
+import rosemaryknot.process.graceful_shutdown as stop_module
 from rosemaryknot.replay.virtual_time import DecisionLog, run_in_virtual_time
 from rosemaryknot.request.gateway_request_admission import SHUTDOWN_ADMISSION_RULE
-from rosemaryknot.request.stop_admission import NOT_BOUND, STOP_ADMISSIONS
+from rosemaryknot.request.shutdown_admission import (
+    MAY_OUTLAST_SHUTDOWN,
+    SHUTDOWN_ADMISSION_RULES,
+)
 from rosemaryknot.standin.users.system import Answer, Caller
 
 # Until durations are known; from the first signal until the last node is back.
@@ -89,7 +92,9 @@
             if answer.status not in REFUSED:
                 break
             self.counts["refused_once"] += attempt == 0
-            self.counts["refused_by_stop"] += NOT_BOUND.encode() in answer.body
+            self.counts["refused_by_stop"] += (
+                MAY_OUTLAST_SHUTDOWN.encode() in answer.body
+            )
             wait_s = float(answer.headers.get("retry-after", 0))
             await trio.sleep(min(wait_s, left_s * RETRY_SHARE))
         node = self.node_by_id.get(sent)
@@ -212,7 +217,7 @@
 
 def measure(seeds: list[int], way: str, reserve_s: float) -> dict[str, float]:
     """Return a way's figures over seeds, at a reserve of the grace."""
-    stop_module.STOP_RESERVE_S = reserve_s
+    stop_module.SHUTDOWN_RESERVE_S = reserve_s
     with DecisionLog().recording():
         runs = [run_in_virtual_time(seed, replay, seed, way) for seed in seeds]
     found = means(runs)
@@ -226,11 +231,11 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--ways", nargs="*", default=list(STOP_ADMISSIONS))
+    parser.add_argument("--ways", nargs="*", default=list(SHUTDOWN_ADMISSION_RULES))
     parser.add_argument("--reserves", action="store_true")
     options = parser.parse_args()
     seeds = list(range(options.first, options.first + options.seeds))
-    reserve_s = stop_module.STOP_RESERVE_S
+    reserve_s = stop_module.SHUTDOWN_RESERVE_S
     found = {way: measure(seeds, way, reserve_s) for way in options.ways}
     reserves = {}
     if options.reserves:
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -22,16 +22,16 @@
 from rosemaryknot.connection.links import Handlers
 from rosemaryknot.connection.memory_network import MemoryNetwork
 from rosemaryknot.process.claims.records import ClaimRecord, decide_claim, grant
-from rosemaryknot.process.claims.shard_map import first_map
-from rosemaryknot.process.claims.table import RecordTable, TableBounds, TableUse
+from rosemaryknot.process.claims.shard_map import initial_map
+from rosemaryknot.process.claims.table import RecordTable, TableBounds, TableUsage
 from rosemaryknot.process.claims.table import to_wire as claims_to_wire
 from rosemaryknot.process.limits.owner import LimitOwner
 from rosemaryknot.process.limits.shares import ZoneMembers
 from rosemaryknot.process.logs import configure_logs
 from rosemaryknot.process.peer_links import LinkPlan
 from rosemaryknot.process.peers import PeerSet
+from rosemaryknot.process.server_distributor import ServerDistributor
 from rosemaryknot.process.servers import ServerTable
-from rosemaryknot.process.servers_spread import ServersSpread
 from rosemaryknot.process.standby_table import StandbyTable
 from rosemaryknot.values.claim_peers import CopyRecords
 from rosemaryknot.values.claims import ClaimId, ClaimRequest
@@ -198,7 +198,7 @@
     table = ServerTable()
     _, memory = bytes_of(lambda: table.apply_list(new_servers()))
     peers = SimpleNamespace(on_entry_link=[])
-    spread = ServersSpread(table, peers, Handlers(), random.Random(1))
+    spread = ServerDistributor(table, peers, Handlers(), random.Random(1))
     listed, push = new_servers(), encode_message(table.to_push())
     return {
         "memory_bytes": round(memory / SERVERS),
@@ -254,7 +254,7 @@
 
 def granted_table(count: int) -> RecordTable:
     """Return a table of granted claims."""
-    table = RecordTable(TableUse(TableBounds(max_records=2 * count)))
+    table = RecordTable(TableUsage(TableBounds(max_records=2 * count)))
     for number in range(count):
         claim_id = ClaimId("estimator-1", "dispatch-app", f"booking-{number:08d}")
         request = ClaimRequest(
@@ -292,7 +292,7 @@
 def shard() -> dict[str, float]:
     """Return the cost of a shard in the map that each node holds."""
     nodes = [Node(f"waco-a-{number}", "waco-a", 1) for number in range(88)]
-    made, memory = bytes_of(lambda: first_map(nodes, SHARDS))
+    made, memory = bytes_of(lambda: initial_map(nodes, SHARDS))
     return {
         "memory_bytes": round(memory / SHARDS),
         "stored_bytes": round(len(json.dumps(made.to_value())) / SHARDS, 1),
--- a/benchmarks/stop_deployment.py
+++ b/benchmarks/stop_deployment.py
@@ -6,7 +6,7 @@
 
 from rosemaryknot.process.node import GatewayNode
 from rosemaryknot.process.node_settings import NodeSettings
-from rosemaryknot.request.stop_admission import STOP_ADMISSIONS
+from rosemaryknot.request.shutdown_admission import SHUTDOWN_ADMISSION_RULES
 from rosemaryknot.standin.users.servers import ServerStandIn
 from rosemaryknot.standin.users.system import (
     MODEL,
@@ -96,15 +96,15 @@
     async def add_node(self, number: int, **options: object) -> GatewayNode:
         """Start a node with the way that is measured."""
         node = await super().add_node(number, **options)
-        node.gateway.entry.decide_during_shutdown = STOP_ADMISSIONS[self.way]
-        name, end = node.settings.node, node.end
+        node.gateway.entry.decide_during_shutdown = SHUTDOWN_ADMISSION_RULES[self.way]
+        name, shut_down = node.settings.node, node.shut_down
         self.ends[name] = ended = trio.Event()
 
         async def noted_end() -> None:
-            await end()
+            await shut_down()
             ended.set()
 
-        node.end = noted_end
+        node.shut_down = noted_end
         self.missed.setdefault(name, 0)
         return node
 
--- a/src/rosemaryknot/process/admin_shards.py
+++ b/src/rosemaryknot/process/admin_shards.py
@@ -1,4 +1,4 @@
-"""Operators' commands on the shards of at-most-once execution."""
+"""Operator commands for the shards of at-most-once execution."""
 
 import json
 from typing import Annotated, Any
@@ -23,10 +23,10 @@
 
 @application.command()
 def shards(context: typer.Context, as_json: JsonOption = False) -> None:
-    """Show who owns which shards, as one agent sees it.
+    """Show the owners of the shards, as known to one agent.
 
-    Exit code 1 while an owner is mute: its shards wait until it answers or its end
-    is proven.
+    Exit code 1 while an owner is not live: its shards are unavailable until it responds
+    or is confirmed to have stopped.
     """
     body = checked(call_agent(context.obj, "GET", SHARDS))
     if as_json:
@@ -38,7 +38,7 @@
 
 
 def print_shards(body: dict[str, Any]) -> None:
-    """Print the owners for people."""
+    """Print the owners as a table."""
     typer.echo(f"shard map {body['map_number']}\n")
     rows = [
         [
@@ -60,16 +60,18 @@
     confirm: Annotated[
         str,
         typer.Option(
-            "--confirm", metavar="NODE", help="The same name: its machine is gone."
+            "--confirm",
+            metavar="NODE",
+            help="The same name, to confirm that its machine no longer runs.",
         ),
     ] = "",
     as_json: JsonOption = False,
 ) -> None:
-    """Give your word that a node has ended, so that its shards pass on.
+    """Confirm that a node has stopped, so that its shards are taken over.
 
-    Only for a node that does not answer and that the platform no longer knows. If
-    its process still runs, requests can run twice. Without --confirm nothing is
-    changed, and what could happen is told.
+    Only for a node that does not respond and that the platform no longer knows. If its
+    process still runs, requests can run twice. Without --confirm nothing is changed,
+    and a warning describes the risk.
     """
     content = json.dumps({"node": node, "confirm": confirm}).encode()
     path = f"{SHARDS}/confirm-ended"
@@ -82,4 +84,7 @@
     if as_json:
         print_json(body)
     else:
-        typer.echo(f"{node} counts as ended; its {body['shards']} shards pass on")
+        typer.echo(
+            f"{node} is confirmed as stopped; "
+            f"its {body['shards']} shards will be taken over"
+        )
--- a/src/rosemaryknot/process/agent.py
+++ b/src/rosemaryknot/process/agent.py
@@ -18,8 +18,8 @@
 from rosemaryknot.process.claims.operators_api import ShardsApi
 from rosemaryknot.process.claims.shards import ShardClaims
 from rosemaryknot.process.configuration import ConfigurationHolder
-from rosemaryknot.process.configuration_spread import (
-    ConfigurationSpread,
+from rosemaryknot.process.configuration_distributor import (
+    ConfigurationDistributor,
     keep_entry_current,
     register_configuration_handlers,
 )
@@ -32,8 +32,8 @@
 from rosemaryknot.process.placement.manager import PlacementManager
 from rosemaryknot.process.platform_watch import PlatformWatch
 from rosemaryknot.process.safeguards import Safeguards
+from rosemaryknot.process.server_distributor import ServerDistributor
 from rosemaryknot.process.servers import ServerTable
-from rosemaryknot.process.servers_spread import ServersSpread
 from rosemaryknot.process.settings import Settings
 from rosemaryknot.process.standby import StandbyKeeper
 from rosemaryknot.process.status import StatusApi
@@ -151,22 +151,22 @@
     def add_servers(self) -> None:
         """Put the parts about backend servers together."""
         self.servers = ServerTable(self.safeguards)
-        self.servers_spread = ServersSpread(
+        self.server_distributor = ServerDistributor(
             self.servers, self.peers, self.handlers, self.rng
         )
         self.platform_watch = PlatformWatch(
-            self.platform, self.servers, self.rng, self.servers_spread.is_watcher
+            self.platform, self.servers, self.rng, self.server_distributor.is_watcher
         )
 
     def add_configuration(self) -> None:
         """Put the parts about the configuration together."""
         self.holder = ConfigurationHolder(ConfigurationView.from_document)
-        self.spread = ConfigurationSpread(
+        self.distributor = ConfigurationDistributor(
             self.node, self.holder, self.peers, len(self.settings.peers), self.rng
         )
         self.store = ConfigurationStore(self.platform, self.holder, self.unix_time)
-        self.watcher = ConfigurationWatcher(self.store, self.spread, self.rng)
-        register_configuration_handlers(self.handlers, self.holder, self.spread)
+        self.watcher = ConfigurationWatcher(self.store, self.distributor, self.rng)
+        register_configuration_handlers(self.handlers, self.holder, self.distributor)
         self.peers.on_entry_link.append(
             lambda link: keep_entry_current(self.holder, link)
         )
@@ -237,9 +237,9 @@
     async def serve(self, nursery: trio.Nursery) -> None:
         """Start all tasks; return once peers, entries and operators can connect."""
         await nursery.start(self.peers.run)
-        nursery.start_soon(self.servers_spread.run)
+        nursery.start_soon(self.server_distributor.run)
         nursery.start_soon(self.platform_watch.run)
-        nursery.start_soon(self.spread.run)
+        nursery.start_soon(self.distributor.run)
         nursery.start_soon(self.watcher.run)
         nursery.start_soon(self.objects.run)
         nursery.start_soon(self.shards.run)
--- a/src/rosemaryknot/process/claims/forms.py
+++ b/src/rosemaryknot/process/claims/forms.py
@@ -1,4 +1,4 @@
-"""The forms of at-most-once execution, by name."""
+"""Implementations (forms) of at-most-once execution, registered by name."""
 
 from collections.abc import Callable
 from typing import Protocol, TypeVar
@@ -15,16 +15,16 @@
 from rosemaryknot.values.messages import Message
 from rosemaryknot.values.outcomes import Reason
 
-__all__ = ["FORMS", "ClaimForm", "claim_form", "refuse_unproven"]
+__all__ = ["FORMS", "ClaimForm", "claim_form", "refuse_unconfirmed"]
 
 RETRY_AFTER_S = 1.0
 
 
 class ClaimForm(Protocol):
-    """One way to keep who may send a request."""
+    """An implementation that decides which claim may send a request."""
 
     async def claim(self, request: ClaimRequest) -> Message:
-        """Grant or refuse the right to send.
+        """Grant or refuse the right to send a request.
 
         Parameters
         ----------
@@ -34,7 +34,7 @@
         Returns
         -------
         reply : ClaimGranted or ClaimAnswered or ClaimRefused
-            What the entry does with the request.
+            Whether the entry sends the request, and what it returns otherwise.
         """
 
     async def close(self, request: CloseRequest) -> CloseReply:
@@ -43,16 +43,16 @@
         Parameters
         ----------
         request : CloseRequest
-            What to close.
+            The id and the highest attempt to close.
 
         Returns
         -------
         reply : CloseReply
-            Whether that is proven.
+            Whether it is confirmed that the attempts are closed.
         """
 
     async def record(self, result: ResultRecord) -> ResultStored:
-        """Take in what came of a claim.
+        """Apply the result of a claim.
 
         Parameters
         ----------
@@ -62,7 +62,7 @@
         Returns
         -------
         reply : ResultStored
-            Whether the entry may forget it.
+            Whether the result is stored, so that the entry may discard it.
         """
 
 
@@ -72,7 +72,7 @@
 
 
 def claim_form(name: str) -> Callable[[FormType], FormType]:
-    """Register a class under the name that the configuration gives.
+    """Register a class under the name that is used in the configuration.
 
     Parameters
     ----------
@@ -92,22 +92,22 @@
     return register
 
 
-def refuse_unproven(
+def refuse_unconfirmed(
     request: ClaimRequest, reason: Reason, maybe_granted: bool
 ) -> ClaimRefused:
-    """Return the refusal of a claim about which nothing can be proven.
+    """Return the refusal of a claim when the state of its id cannot be confirmed.
 
-    A caller that declares attempt 1 has sent nothing before, and this claim is not
-    going to be used, so "not run" is true of it without any proof.
+    A caller that declares attempt 1 has not sent the request before, and this claim
+    will not be used. So the outcome "not run" is correct without confirmation.
 
     Parameters
     ----------
     request : ClaimRequest
         The claim.
     reason : Reason
-        What is in the way.
+        Why the state cannot be confirmed.
     maybe_granted : bool
-        Whether it may have been granted all the same.
+        Whether the claim may have been granted nevertheless.
 
     Returns
     -------
--- a/src/rosemaryknot/process/claims/handlers.py
+++ b/src/rosemaryknot/process/claims/handlers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Mapping
 
 from rosemaryknot.connection.links import Handlers, MessageLink
-from rosemaryknot.process.claims.forms import ClaimForm, refuse_unproven
+from rosemaryknot.process.claims.forms import ClaimForm, refuse_unconfirmed
 from rosemaryknot.values.claims import (
     ClaimRequest,
     CloseReply,
@@ -25,7 +25,7 @@
     form_of: Callable[[str], str],
     map_number: Callable[[], int] = lambda: 0,
 ) -> None:
-    """Let entries claim, close and report through this agent.
+    """Register the handlers for claims, close requests and results of entries.
 
     Parameters
     ----------
@@ -34,17 +34,17 @@
     forms : mapping of str to ClaimForm
         The forms that this agent runs, by name.
     form_of : callable
-        Returns the form of a service by the configuration in force. It must never
-        change for a service that has ids in use: the other form does not know them.
+        Returns the form of a service in the current configuration. It must never change
+        for a service that has ids in use, since the other form has no records of them.
     map_number : callable
-        Returns the number of the newest shard map; 0 where there is none.
+        Returns the number of the newest shard map; 0 if there is none.
     """
 
     @handlers.on(ClaimRequest)
     async def claim(request: ClaimRequest, link: MessageLink) -> Message:
         form = forms.get(form_of(request.service))
         if form is None:
-            return refuse_unproven(request, Reason.NO_CONFIGURATION, False)
+            return refuse_unconfirmed(request, Reason.NO_CONFIGURATION, False)
         return await form.claim(request)
 
     @handlers.on(CloseRequest)
--- a/src/rosemaryknot/process/claims/duties.py
+++ b/src/rosemaryknot/process/claims/maintenance.py
@@ -1,7 +1,7 @@
-"""What a node does for its shards in the background.
+"""Background tasks for the shards of a node.
 
-It follows the map, takes shards of owners that are proven to have ended, and hands
-shards to nodes that own fewer.
+They watch the shard map, take over shards of owners that are confirmed to have stopped,
+and hand over shards to nodes that own fewer.
 """
 
 import random
@@ -10,67 +10,71 @@
 
 import trio
 
-from rosemaryknot.process.claims.ended_owners import EndedOwners
-from rosemaryknot.process.claims.map_keeper import MapKeeper
 from rosemaryknot.process.claims.ownership import ShardOwnership
-from rosemaryknot.process.claims.shard_map import Shard, rendezvous
+from rosemaryknot.process.claims.shard_map import Shard, rendezvous_order
+from rosemaryknot.process.claims.shard_map_manager import ShardMapManager
+from rosemaryknot.process.claims.stopped_owners import StoppedOwners
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import gauge
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.values.platform import InstanceSource, Missing
 
-__all__ = ["ShardDuties"]
+__all__ = ["ShardMaintenance"]
 
-TICK_S = 1.0
-GOSSIP_S = 2.0
-READ_S = 60.0
-STUCK_READ_S = 5.0
-START_WAIT_S = 5.0
-START_POLL_S = 0.2
-ABSENT_S = 3.0
-# After this long any node takes what the preferred successor did not take.
-ABSENT_ANY_S = 13.0
-REBALANCE_S = 5.0
-# A node must have been live for this long before it gets shards, and own two fewer
-# than the giver: a node that comes and goes then moves nothing.
-STABLE_S = 10.0
-HYSTERESIS = 2
+TICK_INTERVAL_S = 1.0
+GOSSIP_INTERVAL_S = 2.0
+READ_INTERVAL_S = 60.0
+ABSENT_OWNER_READ_INTERVAL_S = 5.0
+EXPECTED_NODES_TIMEOUT_S = 5.0
+START_POLL_INTERVAL_S = 0.2
+ABSENCE_TIMEOUT_S = 3.0
+# After this time any node takes over the shards that the preferred successor did not
+# take over.
+FALLBACK_ABSENCE_TIMEOUT_S = 13.0
+REBALANCE_INTERVAL_S = 5.0
+# A node receives shards only after it has been live for this time, and only if it owns
+# two fewer than the node that hands them over. So a node that repeatedly joins and
+# leaves moves no shards.
+STABLE_PERIOD_S = 10.0
+MIN_SHARD_DIFFERENCE = 2
 
 log = logger("shards")
-STUCK = gauge("shards_without_owner", "Shards whose owner does not answer.")
+SHARDS_WITHOUT_OWNER = gauge(
+    "shards_without_owner", "Shards whose owner does not answer."
+)
 
 
-class ShardDuties:
+class ShardMaintenance:
     """Background tasks of a node's shards.
 
     Parameters
     ----------
     node : Node
         This node.
-    maps : MapKeeper
-        The shard map.
+    maps : ShardMapManager
+        Manages the shard map.
     ownership : ShardOwnership
-        The shards in this node's hands.
+        Shards that this node owns.
     platform : InstanceSource
-        Tells whether an instance is terminated.
+        Source of instance states; a terminated instance has no owner process.
     expected_nodes : callable
-        Returns how many nodes the region should have at the start; the first map
-        waits some seconds for them.
+        Returns the number of nodes that the region should have at the start. The first
+        map is delayed some seconds until they are live.
     rng : random.Random, optional
-        Picks peers to ask.
+        Selects the peers that are asked for newer maps.
 
     Attributes
     ----------
     absent_since_s : dict of str to float
-        Owners that do not seem to live, since when.
-    ended : EndedOwners
-        Owners that are proven to have ended.
+        By name, the time since which an owner is not considered live.
+    stopped_owners : StoppedOwners
+        Owners that are confirmed to have stopped.
     """
 
     def __init__(
         self,
         node: Node,
-        maps: MapKeeper,
+        maps: ShardMapManager,
         ownership: ShardOwnership,
         platform: InstanceSource,
         expected_nodes: Callable[[], int] = lambda: 1,
@@ -85,78 +89,80 @@
         self.rng = rng or random.Random()
         self.absent_since_s: dict[str, float] = {}
         self.live_since_s: dict[Node, float] = {}
-        self.ended = EndedOwners(platform)
-        self.read_s = 0.0
+        self.stopped_owners = StoppedOwners(platform)
+        self.last_read_s = 0.0
 
     async def run(self) -> None:
-        """Look after the shards until cancelled.
+        """Run the background tasks until cancelled.
 
-        Start it once this process holds the node's listen address: from then on an
-        earlier process of this node is known to have ended.
+        Call this after the process has bound the node's listen address, which confirms
+        that an earlier process of this node has stopped.
         """
         await self.start()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.follow_map)
+            nursery.start_soon(self.watch_map)
             nursery.start_soon(self.gossip)
             nursery.start_soon(self.tick)
             nursery.start_soon(self.rebalance)
 
     async def start(self) -> None:
-        """Learn the map, or write the first one where there is none anywhere."""
+        """Fetch the map, or create it if neither the store nor a peer has one."""
         started_s = trio.current_time()
         while self.maps.map is None:
-            await self.maps.ask_all()
+            await self.maps.request_map_from_all()
             found = await self.maps.read()
-            waited_s = trio.current_time() - started_s
-            is_met = len(self.peers.nodes()) + 1 >= self.expected_nodes()
-            if isinstance(found, Missing) and (is_met or waited_s > START_WAIT_S):
-                await self.maps.ask_all()
+            elapsed_s = trio.current_time() - started_s
+            has_expected_nodes = len(self.peers.nodes()) + 1 >= self.expected_nodes()
+            if isinstance(found, Missing) and (
+                has_expected_nodes or elapsed_s > EXPECTED_NODES_TIMEOUT_S
+            ):
+                await self.maps.request_map_from_all()
                 if self.maps.map is None:
                     await self.maps.create()
             else:
-                await trio.sleep(START_POLL_S)
-        # Peers may know a newer map than a store that was restored.
-        await self.maps.ask_all()
+                await trio.sleep(START_POLL_INTERVAL_S)
+        # Peers may know a newer map than a store that was restored from a backup.
+        await self.maps.request_map_from_all()
 
-    async def follow_map(self) -> None:
-        """Let ownership follow each newer map."""
+    async def watch_map(self) -> None:
+        """Reconcile the ownership with each newer map."""
         while True:
             changed = self.maps.changed
             await self.ownership.reconcile()
             await changed.wait()
 
     async def gossip(self) -> None:
-        """Ask one peer after the other for a newer map.
+        """Periodically request a newer map from a random peer.
 
-        Those with a link: the links connect all nodes, and what relays pass on
-        would cost each of them the same again.
+        Linked peers are preferred. The links connect all nodes, and a request through
+        relays would cause the same cost again at each relay.
         """
         while True:
-            await trio.sleep(GOSSIP_S)
+            await trio.sleep(GOSSIP_INTERVAL_S)
             nodes = self.peers.linked() or self.peers.nodes()
             if nodes:
-                await self.maps.ask(self.rng.choice(nodes).name)
+                await self.maps.request_map(self.rng.choice(nodes).name)
 
     async def tick(self) -> None:
-        """Do what is due, each second."""
+        """Run the periodic tasks, each second."""
         live: set[Node] = set()
         while True:
-            await trio.sleep(TICK_S)
+            await trio.sleep(TICK_INTERVAL_S)
             now_live = set(self.peers.nodes())
-            self.note_live(now_live)
+            self.record_live_nodes(now_live)
             if now_live != live:
                 live = now_live
-                self.ownership.recopy_due = True
+                self.ownership.replication_due = True
             self.ownership.expire()
-            if self.ownership.recopy_due:
-                await self.ownership.recopy()
-            await self.ask_mute_peers()
+            if self.ownership.replication_due:
+                await self.ownership.replicate_missing()
+            await self.query_returned_peers()
             await self.read_map()
             if not self.ownership.is_stopping:
                 await self.take_over()
 
-    def note_live(self, live: set[Node]) -> None:
-        """Keep since when each node lives, and each owner does not."""
+    def record_live_nodes(self, live: set[Node]) -> None:
+        """Record since when each node has been live and each owner absent."""
         now_s = trio.current_time()
         self.live_since_s = {node: self.live_since_s.get(node, now_s) for node in live}
         names = {node.name for node in live} | {self.node.name}
@@ -164,69 +170,78 @@
         self.absent_since_s = {
             name: self.absent_since_s.get(name, now_s) for name in owners - names
         }
-        STUCK.set(
+        SHARDS_WITHOUT_OWNER.set(
             sum(shard.owner in self.absent_since_s for shard in self.maps.map.shards)
         )
 
-    async def ask_mute_peers(self) -> None:
-        """Ask peers that were mute at a takeover, once they live again."""
+    async def query_returned_peers(self) -> None:
+        """Query peers that were silent at a takeover and are live again."""
         live = {node.name for node in self.peers.nodes()}
-        for index, names in list(self.ownership.unasked.items()):
+        for index, names in list(self.ownership.pending_peers.items()):
             if names & live:
-                await self.ownership.ask_unasked(index)
+                await self.ownership.query_pending_peers(index)
 
     async def read_map(self) -> None:
-        """Read the map from the store now and then, sooner where an owner is gone."""
+        """Read the stored map periodically, more often while an owner is absent."""
         now_s = trio.current_time()
-        pause_s = STUCK_READ_S if self.absent_since_s else READ_S
-        if now_s >= self.read_s + pause_s:
-            self.read_s = now_s
+        interval_s = (
+            ABSENT_OWNER_READ_INTERVAL_S if self.absent_since_s else READ_INTERVAL_S
+        )
+        if now_s >= self.last_read_s + interval_s:
+            self.last_read_s = now_s
             await self.maps.read()
 
     async def take_over(self) -> None:
-        """Take the shards of owners that are proven to have ended."""
+        """Take over the shards of owners that are confirmed to have stopped."""
         shards = self.maps.map.shards
-        found = {index: shards[index] for index in self.ownership.lost()}
+        found = {
+            index: shards[index] for index in self.ownership.shards_without_table()
+        }
         for name in list(self.absent_since_s):
-            found |= await self.ended.among(self.wanted(name))
+            found |= await self.stopped_owners.select_stopped(
+                self.takeover_candidates(name)
+            )
         if found:
-            await self.ownership.take(
+            await self.ownership.take_over(
                 {i: (shard.owner, shard.incarnation) for i, shard in found.items()}
             )
 
-    def wanted(self, name: str) -> dict[int, Shard]:
-        """Return the shards of an absent owner that this node would take."""
+    def takeover_candidates(self, name: str) -> dict[int, Shard]:
+        """Return the shards of an absent owner that this node may take over."""
         absence_s = trio.current_time() - self.absent_since_s[name]
-        if absence_s < ABSENT_S:
+        if absence_s < ABSENCE_TIMEOUT_S:
             return {}
         return {
             index: shard
             for index, shard in enumerate(self.maps.map.shards)
             if shard.owner == name
-            and (absence_s >= ABSENT_ANY_S or self.is_preferred(index, shard))
+            and (
+                absence_s >= FALLBACK_ABSENCE_TIMEOUT_S
+                or self.is_preferred(index, shard)
+            )
         }
 
     def is_preferred(self, index: int, shard: Shard) -> bool:
-        """Tell whether this node comes first among the live nodes for a shard."""
+        """Return whether this node is the preferred live node for a shard."""
         nodes = [self.node, *self.peers.nodes()]
         inside = [node for node in nodes if node.zone == shard.zone]
-        return rendezvous(index, inside or nodes)[0] == self.node
+        return rendezvous_order(index, inside or nodes)[0] == self.node
 
     async def rebalance(self) -> None:
-        """Hand a shard to a node that owns fewer, at leisure."""
+        """Periodically hand over one shard to a node that owns fewer."""
         while True:
-            await trio.sleep(REBALANCE_S)
+            await trio.sleep(REBALANCE_INTERVAL_S)
             move = None if self.ownership.is_stopping else self.next_move()
             if move is not None:
                 await self.ownership.hand_over(*move)
 
     def next_move(self) -> tuple[int, Node] | None:
-        """Return a shard to hand over and its successor, or None."""
+        """Return the next shard to hand over and its successor, or None."""
         now_s = trio.current_time()
         stable = [
             node
             for node, since_s in self.live_since_s.items()
-            if now_s - since_s >= STABLE_S
+            if now_s - since_s >= STABLE_PERIOD_S
         ]
         counts = Counter(shard.owner for shard in self.maps.map.shards)
         for index in self.ownership.owned:
@@ -239,19 +254,19 @@
             if not nodes:
                 continue
             successor = min(nodes, key=lambda node: (counts[node.name], node.name))
-            goes_home = successor.zone == zone and not is_home
+            returns_home = successor.zone == zone and not is_home
             difference = counts[self.node.name] - counts[successor.name]
-            if goes_home or difference >= HYSTERESIS:
+            if returns_home or difference >= MIN_SHARD_DIFFERENCE:
                 return index, successor
         return None
 
     async def hand_over_all(self) -> int:
-        """Hand all shards to other nodes, for a planned stop.
+        """Hand over all shards to other nodes, for a graceful shutdown.
 
         Returns
         -------
-        left : int
-            Shards that could not be handed over.
+        remaining : int
+            Number of shards that could not be handed over.
         """
         self.ownership.is_stopping = True
         for index in list(self.ownership.owned):
@@ -260,7 +275,9 @@
                 continue
             zone = self.maps.map.shards[index].zone
             inside = [node for node in nodes if node.zone == zone]
-            for successor in rendezvous(index, inside) or rendezvous(index, nodes):
+            for successor in rendezvous_order(index, inside) or rendezvous_order(
+                index, nodes
+            ):
                 if await self.ownership.hand_over(index, successor):
                     break
         return len(self.ownership.owned)
--- a/src/rosemaryknot/process/claims/objects.py
+++ b/src/rosemaryknot/process/claims/objects.py
@@ -1,7 +1,8 @@
-"""First form: one object of the object API for each id.
+"""At-most-once execution with one stored object per id, the form ``objects``.
 
-The claim is a conditional write before the request is sent. It costs two writes a
-request, and nothing can be claimed while the store is down.
+A claim is a conditional write to the platform's object API before the request is sent.
+It costs two writes per request, and nothing can be claimed while the store is
+unavailable.
 """
 
 import base64
@@ -15,7 +16,7 @@
 import trio
 import xxhash
 
-from rosemaryknot.process.claims.forms import claim_form, refuse_unproven
+from rosemaryknot.process.claims.forms import claim_form, refuse_unconfirmed
 from rosemaryknot.process.claims.records import (
     ClaimRecord,
     RunState,
@@ -24,8 +25,8 @@
     close_reply,
     decide_claim,
     grant,
-    record_from_map,
-    record_to_map,
+    record_from_dict,
+    record_to_dict,
     refuse_closed,
 )
 from rosemaryknot.process.logs import logger
@@ -53,11 +54,11 @@
 
 KIND = "claims"
 CALL_TIMEOUT_S = 2.5
-MAX_ROUNDS = 8
-MAX_CACHED = 10_000
-MAX_EXPIRING = 200_000
-RETRY_S = 0.1
-SWEEP_S = 5.0
+MAX_ATTEMPTS = 8
+MAX_CACHED_RECORDS = 10_000
+MAX_SCHEDULED_DELETIONS = 200_000
+RETRY_DELAY_S = 0.1
+SWEEP_INTERVAL_S = 5.0
 
 Decision = Callable[[ClaimRecord, float], tuple[Message, bool]]
 
@@ -65,74 +66,78 @@
 
 
 def object_name(claim_id: ClaimId) -> str:
-    """Return the object's name; 128 bits, since two ids must never share one."""
+    """Return the name of an id's object.
+
+    It is a hash of 128 bits, since two ids must never share an object.
+    """
     text = "\0".join((claim_id.customer, claim_id.service, claim_id.key))
     return xxhash.xxh3_128_hexdigest(text.encode())
 
 
-def to_json(claim_id: ClaimId, record: ClaimRecord) -> dict[str, Any]:
-    """Return the object's value."""
-    value = record_to_map(record)
+def to_object_value(claim_id: ClaimId, record: ClaimRecord) -> dict[str, Any]:
+    """Return a record as the value of its object."""
+    value = record_to_dict(record)
     value["body"] = base64.b64encode(record.body).decode()
     value["body_digest"] = record.body_digest.hex()
     value["id"] = [claim_id.customer, claim_id.service, claim_id.key]
     return value
 
 
-def from_json(value: dict[str, Any]) -> ClaimRecord:
-    """Return the record of an object's value."""
+def from_object_value(value: dict[str, Any]) -> ClaimRecord:
+    """Return the record for the value of an object."""
     fields = {name: field for name, field in value.items() if name != "id"}
     fields["body"] = base64.b64decode(fields["body"])
     fields["body_digest"] = bytes.fromhex(fields["body_digest"])
-    return record_from_map(fields)
+    return record_from_dict(fields)
 
 
 @dataclass(slots=True)
-class Versioned:
-    """A record and the version of the object that holds it; 0 for none yet."""
+class VersionedRecord:
+    """A record and the version of the object that stores it; 0 if there is none yet."""
 
     version: int
     record: ClaimRecord
 
 
-class Deletions:
-    """Objects that this agent wrote last, with the time to delete each.
+class DeletionSchedule:
+    """Objects that this agent was the last to write, with the time to delete each.
 
-    Open grants wait in a map of their own: nearly all of them are written again
-    within seconds, and would fill the heap for the day that an open grant is kept.
+    Open grants are in a separate dict. Nearly all of them are written again within
+    seconds, and their outdated entries would stay in the heap for the day that an open
+    grant is kept.
 
     Attributes
     ----------
     not_planned : int
-        Objects that stay in the store because there were too many to remember.
+        Number of objects that stay in the store because the schedule was full.
     """
 
     def __init__(self) -> None:
-        self.open: dict[ClaimId, tuple[float, int]] = {}
+        self.open_grants: dict[ClaimId, tuple[float, int]] = {}
         self.heap: list[tuple[float, int, ClaimId]] = []
         self.not_planned = 0
 
-    def plan(
+    def schedule(
         self, claim_id: ClaimId, expires_s: float, version: int, is_open: bool
     ) -> None:
-        """Remember when to delete an object."""
-        self.open.pop(claim_id, None)
-        if len(self.open) + len(self.heap) >= MAX_EXPIRING:
+        """Schedule the deletion of an object."""
+        self.open_grants.pop(claim_id, None)
+        if len(self.open_grants) + len(self.heap) >= MAX_SCHEDULED_DELETIONS:
             self.not_planned += 1
         elif is_open:
-            self.open[claim_id] = (expires_s, version)
+            self.open_grants[claim_id] = (expires_s, version)
         else:
             heapq.heappush(self.heap, (expires_s, version, claim_id))
 
-    def due(self, now_s: float) -> list[tuple[ClaimId, int]]:
-        """Take out the objects whose time has come."""
+    def pop_due(self, now_s: float) -> list[tuple[ClaimId, int]]:
+        """Remove and return the objects that are due for deletion."""
         found = [
             (claim_id, version)
-            for claim_id, (expires_s, version) in self.open.items()
+            for claim_id, (expires_s, version) in self.open_grants.items()
             if expires_s < now_s
         ]
         for claim_id, _ in found:
-            del self.open[claim_id]
+            del self.open_grants[claim_id]
         while self.heap and self.heap[0][0] < now_s:
             _, version, claim_id = heapq.heappop(self.heap)
             found.append((claim_id, version))
@@ -141,19 +146,20 @@
 
 @claim_form("objects")
 class ObjectClaims:
-    """Keep each id in an object of its own.
+    """Claim form that stores each id in an object of its own.
 
     Parameters
     ----------
     store : ObjectStore
         The platform's object API.
     unix_time : callable
-        Wall time in seconds, since other nodes compare what is stored.
+        Returns the wall-clock time in seconds. Stored times are compared by other
+        nodes, so the monotonic clock of a process cannot be used.
 
     Attributes
     ----------
     store_calls : int
-        Calls made to the store.
+        Number of calls made to the store.
     """
 
     def __init__(
@@ -162,33 +168,33 @@
         self.store = store
         self.unix_time = unix_time
         self.store_calls = 0
-        self.cache: OrderedDict[ClaimId, Versioned] = OrderedDict()
-        self.deletions = Deletions()
+        self.cache: OrderedDict[ClaimId, VersionedRecord] = OrderedDict()
+        self.deletions = DeletionSchedule()
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of this form at this node.
+        """Return the state of this form at this node for the status API.
 
         Returns
         -------
         status : dict
-            Calls made to the store, objects that wait for their deletion, and
-            objects that stay because there were too many.
+            Number of calls made to the store, of open grants, of objects scheduled for
+            deletion, and of objects that stay because the schedule was full.
         """
         return {
             "store_calls": self.store_calls,
-            "open": len(self.deletions.open),
+            "open": len(self.deletions.open_grants),
             "to_delete": len(self.deletions.heap),
             "not_planned": self.deletions.not_planned,
         }
 
     async def claim(self, request: ClaimRequest) -> Message:
-        """Grant or refuse the right to send; see `ClaimForm.claim`."""
+        """Grant or refuse the right to send a request; see `ClaimForm.claim`."""
 
         def decide(record: ClaimRecord, now_s: float) -> tuple[Message, bool]:
             reply = decide_claim(record, request, now_s)
             if reply is not None:
                 return reply, False
-            if record.closes(request.attempt):
+            if record.is_closed(request.attempt):
                 changed = close_attempts(
                     record, request.attempt, request.horizon_s, now_s
                 )
@@ -198,7 +204,7 @@
 
         reply = await self.change(request.id, decide)
         if reply is None:
-            return refuse_unproven(request, Reason.STORE_UNAVAILABLE, True)
+            return refuse_unconfirmed(request, Reason.STORE_UNAVAILABLE, True)
         return reply
 
     async def close(self, request: CloseRequest) -> CloseReply:
@@ -216,7 +222,7 @@
         return reply
 
     async def record(self, result: ResultRecord) -> ResultStored:
-        """Take in what came of a claim; see `ClaimForm.record`."""
+        """Apply the result of a claim; see `ClaimForm.record`."""
 
         def decide(record: ClaimRecord, now_s: float) -> tuple[Message, bool]:
             return ResultStored(True), apply_result(record, result, now_s)
@@ -225,81 +231,87 @@
         return reply or ResultStored(False)
 
     async def change(self, claim_id: ClaimId, decide: Decision) -> Message | None:
-        """Decide on the id's record and write what changed.
+        """Apply a decision to the id's record and write the record if it changed.
 
-        Each round decides anew on what the store holds. So a write whose answer was
-        lost is found by the next round's read, and one that lands late loses
-        against the version that a later round wrote.
+        Each attempt decides again on the stored record. So the next attempt reads a
+        write whose response was lost, and a write that takes effect late conflicts with
+        the version written by a later attempt.
 
         Returns
         -------
         reply : Message or None
-            None where the store did not confirm the change in time.
+            None if the store did not confirm the change in time.
         """
-        current = self.cache.pop(claim_id, None) or Versioned(0, ClaimRecord())
-        is_guess = True
+        current = self.cache.pop(claim_id, None) or VersionedRecord(0, ClaimRecord())
+        is_unconfirmed = True
         with trio.move_on_after(CALL_TIMEOUT_S):
-            for _ in range(MAX_ROUNDS):
+            for _ in range(MAX_ATTEMPTS):
                 if current is not None:
                     reply, changed = decide(current.record, self.unix_time())
-                    # A guess is proven by the conditional write alone. A refusal
-                    # without a write may rest on what others have changed since.
-                    if not changed and not is_guess:
+                    # A cached or assumed record is confirmed only by the conditional
+                    # write. A refusal without one could be based on an outdated record.
+                    if not changed and not is_unconfirmed:
                         return reply
                     if changed and await self.save(claim_id, current):
                         return reply
-                current, is_guess = await self.load(claim_id), False
+                current, is_unconfirmed = await self.load(claim_id), False
                 if current is None:
-                    await trio.sleep(RETRY_S)
+                    await trio.sleep(RETRY_DELAY_S)
         return None
 
-    async def load(self, claim_id: ClaimId) -> Versioned | None:
-        """Read an id's record; None where the store does not answer."""
+    async def load(self, claim_id: ClaimId) -> VersionedRecord | None:
+        """Read an id's record; return None if the store does not respond."""
         self.store_calls += 1
         found = await self.store.read(KIND, object_name(claim_id))
         if isinstance(found, StoredObject):
-            return Versioned(found.version, from_json(found.value))
+            return VersionedRecord(found.version, from_object_value(found.value))
         if isinstance(found, Missing):
-            return Versioned(0, ClaimRecord())
+            return VersionedRecord(0, ClaimRecord())
         return None
 
-    async def save(self, claim_id: ClaimId, current: Versioned) -> bool:
-        """Write an id's record if nobody else did; False where that is not sure."""
+    async def save(self, claim_id: ClaimId, current: VersionedRecord) -> bool:
+        """Write an id's record if its version is unchanged.
+
+        Returns
+        -------
+        is_written : bool
+            False if the store did not confirm the write.
+        """
         self.store_calls += 1
-        name, value = object_name(claim_id), to_json(claim_id, current.record)
+        name, value = object_name(claim_id), to_object_value(claim_id, current.record)
         if current.version:
             written = await self.store.update(KIND, name, value, current.version)
         else:
             written = await self.store.create(KIND, name, value)
         if isinstance(written, PlatformFailed):
-            log.warning("store did not confirm a write", reason=written.reason)
+            log.warning("store did not confirm a claim write", reason=written.reason)
         if not isinstance(written, Written):
             return False
         current.version = written.version
-        self.remember(claim_id, current)
+        self.track_written(claim_id, current)
         return True
 
-    def remember(self, claim_id: ClaimId, current: Versioned) -> None:
-        """Keep the version for the next write, and the id for its deletion."""
+    def track_written(self, claim_id: ClaimId, current: VersionedRecord) -> None:
+        """Cache an open grant for its next write, and schedule the deletion."""
         is_open = current.record.state == RunState.GRANTED
         if is_open:
-            # Only the result of an open grant is written from memory.
+            # Only the result of an open grant is written from a cached record.
             self.cache[claim_id] = current
-        if len(self.cache) > MAX_CACHED:
+        if len(self.cache) > MAX_CACHED_RECORDS:
             self.cache.popitem(last=False)
-        self.deletions.plan(
+        self.deletions.schedule(
             claim_id, current.record.expires_s, current.version, is_open
         )
 
     async def run(self) -> None:
-        """Delete the objects whose horizon has passed, until cancelled.
+        """Delete expired objects until cancelled.
 
-        Only the agent that wrote a record last deletes it, and only that version.
-        Objects of an agent that died stay; an operator may delete them.
+        Only the agent that was the last to write an object deletes it, and only that
+        version. Objects of a failed agent stay; an operator may delete them.
         """
         while True:
-            await trio.sleep(SWEEP_S)
-            for claim_id, version in self.deletions.due(self.unix_time()):
+            await trio.sleep(SWEEP_INTERVAL_S)
+            for claim_id, version in self.deletions.pop_due(self.unix_time()):
                 self.cache.pop(claim_id, None)
                 self.store_calls += 1
                 await self.store.delete(KIND, object_name(claim_id), version)
--- a/src/rosemaryknot/process/claims/operators_api.py
+++ b/src/rosemaryknot/process/claims/operators_api.py
@@ -1,4 +1,4 @@
-"""Operators' calls on the shards of at-most-once execution."""
+"""Operator API for the shards of at-most-once execution."""
 
 from dataclasses import asdict, dataclass, field
 from typing import Any
@@ -12,9 +12,9 @@
 
 __all__ = ["OwnerStatus", "ShardsApi", "owners_of"]
 
-ASK_TIMEOUT_S = 2.0
+PLATFORM_TIMEOUT_S = 2.0
 
-WARNING = (
+CONFIRM_WARNING = (
     "If a process of {node} still runs, paused or cut off, requests of its {count} "
     "shards can run twice. Confirm only when its machine is gone."
 )
@@ -29,14 +29,15 @@
     owner : str
         Name of the node.
     incarnation : int
-        Which process of it.
+        Incarnation of the node.
     state : str
-        ``live``; ``mute`` where it does not answer and its shards wait for the proof
-        of its end; ``confirmed`` where an operator gave that proof.
+        ``live``; ``mute`` if the owner is silent and its shards cannot be taken over
+        before it is confirmed to have stopped; ``confirmed`` if an operator confirmed
+        that.
     mute_s : float
-        For how long it has not answered this node.
+        Time for which this node has not considered the owner live.
     shards : list of int
-        Indexes of its shards.
+        Indexes of the owner's shards.
     """
 
     owner: str
@@ -47,17 +48,17 @@
 
 
 def owners_of(claims: ShardClaims) -> list[OwnerStatus]:
-    """Return who owns which shards, by the map that this node knows.
+    """Return the owners of the shards in the map that this node knows.
 
     Parameters
     ----------
     claims : ShardClaims
-        The shards as this node sees them.
+        Local state of the shards.
 
     Returns
     -------
     owners : list of OwnerStatus
-        Those that do not answer first, then by name.
+        Owners by name, after those that are not live.
     """
     found: dict[tuple[str, int], OwnerStatus] = {}
     for index, shard in enumerate(known_shards(claims)):
@@ -71,99 +72,103 @@
 
 
 def known_shards(claims: ShardClaims) -> list[Shard]:
-    """Return the shards of the known map."""
+    """Return the shards of the known map; empty if there is none."""
     return [] if claims.maps.map is None else claims.maps.map.shards
 
 
 def owner_status(claims: ShardClaims, shard: Shard) -> OwnerStatus:
-    """Return what this node knows of a shard's owner."""
+    """Return the status of a shard's owner as known to this node."""
     status = OwnerStatus(shard.owner, shard.incarnation, "live")
-    since_s = claims.duties.absent_since_s.get(shard.owner)
+    since_s = claims.maintenance.absent_since_s.get(shard.owner)
     if since_s is not None:
         status.mute_s = round(trio.current_time() - since_s, 1)
         status.state = "mute"
-        if claims.duties.ended.is_confirmed(shard):
+        if claims.maintenance.stopped_owners.is_confirmed(shard):
             status.state = "confirmed"
     return status
 
 
 class ShardsApi:
-    """Calls on the shards.
+    """Operator API for the shards.
 
     Parameters
     ----------
     claims : ShardClaims
-        The shards as this node sees them.
+        Local state of the shards.
     """
 
     def __init__(self, claims: ShardClaims) -> None:
         self.claims = claims
 
     def blueprint(self) -> Blueprint:
-        """Return the routes."""
+        """Return the blueprint with the routes."""
         routes = Blueprint("shards", __name__, url_prefix="/v1/shards")
         routes.get("")(self.show)
         routes.post("/confirm-ended")(self.confirm_ended)
         return routes
 
     async def show(self) -> Response:
-        """Answer with who owns which shards."""
+        """Handle the request for the owners and their shards."""
         owners = [asdict(owner) for owner in owners_of(self.claims)]
-        return answered(200, map_number=self.claims.maps.number, owners=owners)
+        return json_response(200, map_number=self.claims.maps.number, owners=owners)
 
     async def confirm_ended(self) -> Response:
-        """Take an operator's word that a node has ended, so that its shards pass on."""
+        """Handle an operator's confirmation that a node has stopped.
+
+        The node's shards are taken over then. A request whose ``confirm`` differs from
+        ``node`` changes nothing and returns a warning.
+        """
         body = await request.get_json(force=True, silent=True)
         body = body if isinstance(body, dict) else {}
         node, confirmed = body.get("node"), body.get("confirm")
         if not isinstance(node, str) or not node:
             detail = 'the body must be {"node": "<name>", "confirm": "<name>"}'
-            return answered(400, outcome="bad_request", detail=detail)
+            return json_response(400, outcome="bad_request", detail=detail)
         shards = [shard for shard in known_shards(self.claims) if shard.owner == node]
         refusal = self.refusal(node, shards) or await self.platform_refusal(node)
         if refusal is not None:
             return refusal
         if confirmed != node:
-            detail = WARNING.format(node=node, count=len(shards))
-            return answered(409, outcome="needs_confirm", detail=detail, word=node)
-        # It may have come back while the platform was asked.
+            detail = CONFIRM_WARNING.format(node=node, count=len(shards))
+            return json_response(409, outcome="needs_confirm", detail=detail, word=node)
+        # The node may be live again after the call to the platform.
         refusal = self.refusal(node, shards)
         if refusal is not None:
             return refusal
         for shard in shards:
-            self.claims.duties.ended.confirm(shard, g.operator.name)
-        return answered(202, outcome="confirmed", node=node, shards=len(shards))
+            self.claims.maintenance.stopped_owners.confirm(shard, g.operator.name)
+        return json_response(202, outcome="confirmed", node=node, shards=len(shards))
 
     def refusal(self, node: str, shards: list[Shard]) -> Response | None:
-        """Return why the word on a node is not taken by what is known here."""
+        """Return the refusal that follows from local state, or None."""
         if not shards:
             detail = f"{node} owns no shards"
-            return answered(404, outcome="unknown_owner", detail=detail)
-        if node not in self.claims.duties.absent_since_s:
+            return json_response(404, outcome="unknown_owner", detail=detail)
+        if node not in self.claims.maintenance.absent_since_s:
             detail = f"{node} answers, so it has not ended"
-            return answered(409, outcome="live", detail=detail)
+            return json_response(409, outcome="live", detail=detail)
         return None
 
     async def platform_refusal(self, node: str) -> Response | None:
-        """Return why the word on a node is not taken by what the platform says.
+        """Return the refusal that follows from the platform's state, or None.
 
-        An instance that the platform knows can be terminated, and then nobody's word
-        is needed.
+        An instance that the platform knows can be terminated, and then no confirmation
+        by an operator is needed.
         """
         found: Any = None
-        with trio.move_on_after(ASK_TIMEOUT_S):
-            found = await self.claims.duties.platform.instance(node)
+        with trio.move_on_after(PLATFORM_TIMEOUT_S):
+            found = await self.claims.maintenance.platform.instance(node)
         if isinstance(found, BackendServer) and found.state != ServerState.TERMINATED:
             detail = (
                 f"the platform says that {node} is {found.state}: have it terminated, "
                 "then its shards pass on by themselves"
             )
-            return answered(409, outcome="not_terminated", detail=detail)
+            return json_response(409, outcome="not_terminated", detail=detail)
         return None
 
 
-def answered(status: int, **body: Any) -> Response:
-    """Return a JSON answer."""
+def json_response(status: int, **body: Any) -> Response:
+    """Return a JSON response."""
     response = jsonify(body)
     response.status_code = status
     return response
--- a/src/rosemaryknot/process/claims/ownership.py
+++ b/src/rosemaryknot/process/claims/ownership.py
@@ -1,28 +1,29 @@
-"""Which shards this node owns, and how they pass from one owner to the next.
+"""Ownership of shards by this node, with handover and takeover.
 
-Ownership has no expiry, since a paused owner goes on as such when it wakes. It passes
-from the owner itself, or by proof that the owner's process has ended.
+Ownership does not expire, since an owner that was paused continues as owner when it
+resumes. A shard changes its owner only by a handover from the owner itself, or by a
+takeover after it is confirmed that the owner's process has stopped.
 """
 
 import trio
 
-from rosemaryknot.process.claims.copies import (
-    Copier,
-    CopyHolder,
-    Item,
-    holder_name,
-    pages_of,
-)
-from rosemaryknot.process.claims.map_keeper import Change, MapKeeper
 from rosemaryknot.process.claims.owner import (
-    SETTLE_S,
-    Doubt,
+    SETTLING_PERIOD_S,
     OwnedShard,
     OwnerState,
+    TakeoverUncertainty,
+)
+from rosemaryknot.process.claims.pending_tables import PendingTable, PendingTables
+from rosemaryknot.process.claims.replication import (
+    Item,
+    ReplicaStore,
+    Replicator,
+    holder_name,
+    split_pages,
 )
-from rosemaryknot.process.claims.pending import Pending, PendingTables
 from rosemaryknot.process.claims.shard_map import Shard, ShardMap
-from rosemaryknot.process.claims.table import TableBounds, TableUse, to_wire
+from rosemaryknot.process.claims.shard_map_manager import MapChange, ShardMapManager
+from rosemaryknot.process.claims.table import TableBounds, TableUsage, to_wire
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import counter, gauge
 from rosemaryknot.values.claim_peers import HandoverRecords, HandoverStored
@@ -32,86 +33,88 @@
 
 HANDOVER_TIMEOUT_S = 2.0
 IDLE_TIMEOUT_S = 3.0
-UNSURE_PAUSE_S = 0.5
-POLL_S = 0.01
-# Within this time after the end of a process that held copies, the owners have copied
-# their records to another one.
-YOUNG_S = 60.0
+UNCERTAIN_WRITE_RETRY_S = 0.5
+POLL_INTERVAL_S = 0.01
+# When a process that held replicas stops, the owners replicate their records to another
+# one within this time. The replicas of a process that has run for less may therefore
+# be incomplete.
+MIN_REPLICA_AGE_S = 60.0
 
 log = logger("shards")
 OWNED = gauge("shards_owned", "Shards that this node owns.")
-PASSED = counter("shards_passed_total", "Shards that came or went, by way.")
+OWNERSHIP_CHANGES = counter("shards_passed_total", "Shards that came or went, by way.")
 RECORDS = gauge("claim_records", "Ids that this node remembers as owner.")
 RECORD_BYTES = gauge("claim_bytes", "Bytes of these ids and their kept answers.")
 
 
 class ShardOwnership:
-    """The shards in this node's hands.
+    """Shards that this node owns.
 
     Parameters
     ----------
     node : Node
-        This node, with the incarnation of this start.
-    maps : MapKeeper
-        The shard map.
-    copier : Copier
-        Puts copies to peers.
-    holder : CopyHolder
-        Copies that this node holds.
+        This node, with the incarnation of this process.
+    maps : ShardMapManager
+        Manages the shard map.
+    replicator : Replicator
+        Replicates records to peers.
+    holder : ReplicaStore
+        Replicas that this node holds for other owners.
     bounds : TableBounds
         Bounds on all owned records together.
 
     Attributes
     ----------
     owned : dict of int to OwnedShard
-        By index.
-    unasked : dict of int to set of str
-        Peers that have not told their copies of a shard yet.
-    recopy_due : bool
-        Whether records may be without a copy.
+        Owned shards by index.
+    pending_peers : dict of int to set of str
+        By shard, the peers whose replicas were not received yet.
+    replication_due : bool
+        Whether there may be records without a replica.
     is_stopping : bool
-        Whether this node gives its shards away and takes none.
+        Whether this node hands over its shards and accepts no more.
     """
 
     def __init__(
         self,
         node: Node,
-        maps: MapKeeper,
-        copier: Copier,
-        holder: CopyHolder,
+        maps: ShardMapManager,
+        replicator: Replicator,
+        holder: ReplicaStore,
         bounds: TableBounds,
     ) -> None:
         self.node = node
         self.maps = maps
-        self.copier = copier
-        self.peers = copier.peers
+        self.replicator = replicator
+        self.peers = replicator.peers
         self.holder = holder
-        self.use = TableUse(bounds)
+        self.usage = TableUsage(bounds)
         self.owned: dict[int, OwnedShard] = {}
         self.pending = PendingTables()
-        self.taking: set[tuple[int, int, int]] = set()
-        self.ended: dict[int, tuple[str, int]] = {}
-        self.unasked: dict[int, set[str]] = {}
-        self.recopy_due = False
+        self.attempted_takeovers: set[tuple[int, int, int]] = set()
+        self.stopped_owners: dict[int, tuple[str, int]] = {}
+        self.pending_peers: dict[int, set[str]] = {}
+        self.replication_due = False
         self.last_serial = 0
         self.is_stopping = False
-        self.reconciled = 0
+        self.reconciled_number = 0
 
     def active(self, index: int) -> OwnedShard | None:
-        """Return a shard if this node admits for it now."""
+        """Return a shard if this node currently handles calls for it."""
         owned = self.owned.get(index)
         if owned is None or owned.state != OwnerState.ACTIVE:
             return None
         return owned
 
-    def lost(self) -> list[int]:
-        """Return the shards that the map gives this node, and whose table is lost.
+    def shards_without_table(self) -> list[int]:
+        """Return the shards that the map assigns to this node but that have no table.
 
-        An earlier process of this node owned them; it has ended, since this process
-        holds the node's listen address. Or a handover came without its table.
+        Either an earlier process of this node owned them, which has stopped, since this
+        process holds the node's listen address. Or a handover took effect without its
+        table.
         """
-        if self.maps.map is None or self.reconciled != self.maps.number:
-            # A table that was handed over may wait to be taken in.
+        if self.maps.map is None or self.reconciled_number != self.maps.number:
+            # A table that was handed over may not be installed yet.
             return []
         return [
             index
@@ -120,7 +123,7 @@
         ]
 
     async def reconcile(self) -> None:
-        """Make what is owned follow the newest map."""
+        """Update the owned shards to match the newest map."""
         if self.maps.map is None:
             return
         number = self.maps.number
@@ -129,93 +132,102 @@
                 owned = self.owned.get(index)
                 is_ours = shard.is_owned_by(self.node)
                 if owned and not (is_ours and owned.epoch == shard.epoch):
-                    self.let_go(index, owned)
+                    self.stop_owning(index, owned)
                 if is_ours and index not in self.owned:
-                    nursery.start_soon(self.receive, index, shard)
-        self.reconciled = number
+                    nursery.start_soon(self.start_owning, index, shard)
+        self.reconciled_number = number
         OWNED.set(len(self.owned))
 
-    def let_go(self, index: int, owned: OwnedShard) -> None:
-        """Stop owning a shard that the map gives to another."""
+    def stop_owning(self, index: int, owned: OwnedShard) -> None:
+        """Stop owning a shard that the map assigns to another owner."""
         if owned.state != OwnerState.HANDING_OVER:
-            log.error("the map took a shard that was not handed over", shard=index)
+            log.error(
+                "shard map assigned a shard to another owner without a handover",
+                shard=index,
+            )
         owned.state = OwnerState.HANDING_OVER
-        # The successor may die before it has copied the table: ours is a copy too.
+        # The successor may fail before it has replicated the table, so this node keeps
+        # its table as a replica.
         self.holder.store(index, list(owned.table.records.items()))
         owned.table.clear()
         del self.owned[index]
-        self.unasked.pop(index, None)
+        self.pending_peers.pop(index, None)
 
-    async def receive(self, index: int, shard: Shard) -> None:
-        """Begin to own a shard that the map gives to this process."""
-        pending = self.pending.take(index, shard)
+    async def start_owning(self, index: int, shard: Shard) -> None:
+        """Start owning a shard that the map assigns to this process."""
+        pending = self.pending.take_over(index, shard)
         if pending is not None:
             self.install(index, shard, pending)
             return
-        if (index, shard.epoch, shard.since) in self.taking:
-            await self.gather(index, shard)
+        if (index, shard.epoch, shard.since) in self.attempted_takeovers:
+            await self.gather_replicas(index, shard)
         elif shard.epoch == 1:
-            self.owned[index] = OwnedShard(index, 1, self.use, self.copier)
+            self.owned[index] = OwnedShard(index, 1, self.usage, self.replicator)
 
-    def install(self, index: int, shard: Shard, pending: Pending) -> None:
-        """Own a shard whose table was handed over."""
-        owned = OwnedShard(index, shard.epoch, self.use, self.copier, pending.doubt)
+    def install(self, index: int, shard: Shard, pending: PendingTable) -> None:
+        """Start owning a shard with the table that its owner handed over."""
+        owned = OwnedShard(
+            index, shard.epoch, self.usage, self.replicator, pending.uncertainty
+        )
         for claim_id, record in pending.items:
             owned.table.put(claim_id, record)
         owned.state = OwnerState.ACTIVE
         self.owned[index] = owned
-        self.recopy_due = True
-        PASSED.add(way="received")
-        log.info("received a shard", shard=index, records=len(owned.table))
-
-    async def gather(self, index: int, shard: Shard) -> None:
-        """Own a shard of an ended owner, with what the peers hold of it."""
-        doubt = Doubt(shard.since, trio.current_time())
-        owned = OwnedShard(index, shard.epoch, self.use, self.copier, doubt)
+        self.replication_due = True
+        OWNERSHIP_CHANGES.add(way="received")
+        log.info("shard received by handover", shard=index, records=len(owned.table))
+
+    async def gather_replicas(self, index: int, shard: Shard) -> None:
+        """Gather the replicas of a stopped owner's shard and start owning it."""
+        uncertainty = TakeoverUncertainty(shard.since, trio.current_time())
+        owned = OwnedShard(index, shard.epoch, self.usage, self.replicator, uncertainty)
         self.owned[index] = owned
         self.merge(owned, self.holder.items(index))
-        self.unasked[index] = {node.name for node in self.peers.nodes()}
-        is_whole = await self.ask_unasked(index) and self.are_others_live(index)
+        self.pending_peers[index] = {node.name for node in self.peers.nodes()}
+        is_whole = await self.query_pending_peers(index) and self.are_others_live(index)
         if not is_whole:
-            doubt.settled_s = trio.current_time() + SETTLE_S
+            uncertainty.settling_ends_s = trio.current_time() + SETTLING_PERIOD_S
         owned.state = OwnerState.ACTIVE
-        self.recopy_due = True
-        PASSED.add(way="taken")
+        self.replication_due = True
+        OWNERSHIP_CHANGES.add(way="taken")
         log.warning(
-            "took a shard over from an owner that ended",
+            "shard taken over from a stopped owner",
             shard=index,
             records=len(owned.table),
-            mute_peers=len(self.unasked.get(index, ())),
+            mute_peers=len(self.pending_peers.get(index, ())),
             is_whole=is_whole,
         )
 
     def is_own_restart(self, index: int) -> bool:
-        """Tell whether a shard was taken from an earlier process of this node."""
-        return self.ended.get(index, ("", 0))[0] == self.node.name
+        """Return whether the stopped owner was an earlier process of this node."""
+        return self.stopped_owners.get(index, ("", 0))[0] == self.node.name
 
     def are_others_live(self, index: int) -> bool:
-        """Tell whether all owners live but the one that ended: they held copies."""
+        """Return whether all owners except the stopped one are live.
+
+        The owners hold the replicas.
+        """
         live = {(node.name, node.incarnation) for node in self.peers.nodes()}
         live.add((self.node.name, self.node.incarnation))
-        live.add(self.ended.get(index, ("", 0)))
+        live.add(self.stopped_owners.get(index, ("", 0)))
         return all(
             (shard.owner, shard.incarnation) in live for shard in self.maps.map.shards
         )
 
-    async def ask_unasked(self, index: int) -> bool:
-        """Ask the live peers that have not told their copies of a shard.
+    async def query_pending_peers(self, index: int) -> bool:
+        """Request the replicas of a shard from the live peers that have not sent them.
 
         Returns
         -------
         is_whole : bool
-            Whether all have told, and none has started so lately that copies may
-            have been lost with an earlier process.
+            Whether all peers have sent them, and none has started so recently that
+            replicas may have been lost with an earlier process.
         """
-        owned, names = self.owned[index], self.unasked[index]
+        owned, names = self.owned[index], self.pending_peers[index]
         ages_s = [] if self.is_own_restart(index) else [self.holder.age_s]
 
-        async def ask(name: str) -> None:
-            found = await self.copier.gather(name, index)
+        async def query(name: str) -> None:
+            found = await self.replicator.gather_replicas(name, index)
             if found is not None:
                 names.discard(name)
                 ages_s.append(found[1])
@@ -224,11 +236,11 @@
         async with trio.open_nursery() as nursery:
             for node in self.peers.nodes():
                 if node.name in names:
-                    nursery.start_soon(ask, node.name)
-        return not names and min(ages_s, default=0.0) >= YOUNG_S
+                    nursery.start_soon(query, node.name)
+        return not names and min(ages_s, default=0.0) >= MIN_REPLICA_AGE_S
 
     def merge(self, owned: OwnedShard, items: list[Item]) -> None:
-        """Take in copies; any of them may be older than what the owner last knew."""
+        """Merge replicas, any of which may be older than the owner's last state."""
         for claim_id, record in items:
             known = owned.table.get(claim_id)
             if known is not None and (
@@ -240,94 +252,99 @@
             record.closed = max(record.closed, known.closed if known else 0)
             owned.table.put(claim_id, record)
 
-    async def take(self, ended: dict[int, tuple[str, int]]) -> Change:
-        """Take shards whose owner's process has ended, in one conditional write.
+    async def take_over(self, stopped_owners: dict[int, tuple[str, int]]) -> MapChange:
+        """Take over shards whose owner's process has stopped, in one conditional write.
 
         Parameters
         ----------
-        ended : dict of int to (str, int)
-            Name and incarnation of the owner that is proven to have ended, by shard.
+        stopped_owners : dict of int to (str, int)
+            By shard, the name and incarnation of the owner that is confirmed to have
+            stopped.
 
         Returns
         -------
-        change : Change
-            What came of the write.
+        change : MapChange
+            Outcome of the write.
         """
 
         def decide(current: ShardMap) -> ShardMap | None:
             indexes = []
-            for index, process in ended.items():
+            for index, process in stopped_owners.items():
                 shard = current.shards[index]
                 if (shard.owner, shard.incarnation) == process:
                     indexes.append(index)
             if not indexes:
                 return None
-            taken = current.taken_by(indexes, self.node)
+            taken = current.with_takeover(indexes, self.node)
             for index in indexes:
                 shard = taken.shards[index]
-                self.taking.add((index, shard.epoch, shard.since))
-                self.ended[index] = ended[index]
+                self.attempted_takeovers.add((index, shard.epoch, shard.since))
+                self.stopped_owners[index] = stopped_owners[index]
             return taken
 
         return await self.maps.change(decide)
 
     async def hand_over(self, index: int, successor: Node) -> bool:
-        """Hand a shard and its table to another node.
+        """Hand over a shard and its table to another node.
 
-        From the first step on this node admits nothing for the shard. It goes on
-        only if the map's write certainly did not take effect; as long as it may
-        have, the write is tried again.
+        From the start of the handover this node handles no calls for the shard. It
+        resumes only if the write of the map certainly did not take effect. As long as
+        that is uncertain, the write is retried.
 
         Parameters
         ----------
         index : int
-            An active shard.
+            Index of an active shard.
         successor : Node
-            Its next owner.
+            Next owner of the shard.
 
         Returns
         -------
-        is_handed : bool
-            Whether the successor owns it now.
+        is_handed_over : bool
+            Whether the successor owns the shard now.
         """
         owned = self.owned[index]
         owned.state = OwnerState.HANDING_OVER
-        is_given = await self.is_idle(owned) and await self.give(owned, successor)
-        if not is_given:
+        is_sent = await self.wait_until_idle(owned) and await self.send_table(
+            owned, successor
+        )
+        if not is_sent:
             owned.state = OwnerState.ACTIVE
             return False
 
         def decide(current: ShardMap) -> ShardMap | None:
             if not current.shards[index].is_owned_by(self.node):
                 return None
-            return current.handed_to(index, successor)
+            return current.with_handover(index, successor)
 
         change = await self.maps.change(decide)
-        while change == Change.UNSURE:
-            await trio.sleep(UNSURE_PAUSE_S)
+        while change == MapChange.UNCERTAIN:
+            await trio.sleep(UNCERTAIN_WRITE_RETRY_S)
             again = await self.maps.change(decide)
-            change = Change.UNSURE if again == Change.FAILED else again
-        if change == Change.FAILED:
+            change = MapChange.UNCERTAIN if again == MapChange.FAILED else again
+        if change == MapChange.FAILED:
             owned.state = OwnerState.ACTIVE
             return False
         if self.owned.get(index) is owned:
-            self.let_go(index, owned)
-        PASSED.add(way="handed")
-        log.info("handed a shard over", shard=index, to=successor.name)
+            self.stop_owning(index, owned)
+        OWNERSHIP_CHANGES.add(way="handed")
+        log.info("shard handed over", shard=index, to=successor.name)
         return True
 
-    async def is_idle(self, owned: OwnedShard) -> bool:
-        """Wait for the calls under way on a shard; False where they take too long."""
+    async def wait_until_idle(self, owned: OwnedShard) -> bool:
+        """Wait for the calls in progress on a shard; return False on time-out."""
         with trio.move_on_after(IDLE_TIMEOUT_S):
-            while owned.busy:
-                await trio.sleep(POLL_S)
-        return not owned.busy
+            while owned.active_calls:
+                await trio.sleep(POLL_INTERVAL_S)
+        return not owned.active_calls
 
-    async def give(self, owned: OwnedShard, successor: Node) -> bool:
-        """Send a shard's table to its successor; False where it does not have it."""
+    async def send_table(self, owned: OwnedShard, successor: Node) -> bool:
+        """Send a shard's table to its successor and return whether it stored it."""
         now_s = trio.current_time()
-        doubt_age_s = -1.0 if owned.doubt is None else now_s - owned.doubt.taken_s
-        pages = pages_of(list(owned.table.records.items()))
+        doubt_age_s = (
+            -1.0 if owned.uncertainty is None else now_s - owned.uncertainty.takeover_s
+        )
+        pages = split_pages(list(owned.table.records.items()))
         self.last_serial += 1
         for number, page in enumerate(pages):
             message = HandoverRecords(
@@ -337,7 +354,7 @@
                 number == 0,
                 number == len(pages) - 1,
                 self.last_serial,
-                0 if owned.doubt is None else owned.doubt.since,
+                0 if owned.uncertainty is None else owned.uncertainty.since,
                 doubt_age_s,
             )
             reply = await self.peers.call(successor.name, message, HANDOVER_TIMEOUT_S)
@@ -345,15 +362,15 @@
                 return False
         return True
 
-    def take_in(self, part: HandoverRecords) -> HandoverStored:
-        """Keep a part of a table that its owner hands over."""
-        if self.is_stopping or not self.use.has_room():
+    def receive_table_page(self, page: HandoverRecords) -> HandoverStored:
+        """Store a page of a table that its owner hands over."""
+        if self.is_stopping or not self.usage.has_capacity():
             return HandoverStored(False)
-        return HandoverStored(self.pending.add(part))
+        return HandoverStored(self.pending.add(page))
 
-    async def recopy(self) -> None:
-        """Copy the records that no live peer holds a copy of."""
-        self.recopy_due = False
+    async def replicate_missing(self) -> None:
+        """Replicate the records of which no live peer holds a replica."""
+        self.replication_due = False
         live = {holder_name(node) for node in self.peers.nodes()}
         for index, owned in list(self.owned.items()):
             items = [
@@ -361,16 +378,16 @@
                 for item in owned.table.records.items()
                 if item[1].holder not in live
             ]
-            for page in pages_of(items):
-                if page and not await self.copier.copy(index, page):
-                    self.recopy_due = True
+            for page in split_pages(items):
+                if page and not await self.replicator.replicate(index, page):
+                    self.replication_due = True
                     return
 
     def expire(self) -> None:
-        """Forget the records whose time has passed."""
+        """Remove expired records."""
         now_s = trio.current_time()
         for owned in self.owned.values():
             owned.table.expire(now_s)
         self.holder.expire(now_s)
-        RECORDS.set(self.use.records)
-        RECORD_BYTES.set(self.use.bytes)
+        RECORDS.set(self.usage.records)
+        RECORD_BYTES.set(self.usage.bytes)
--- a/src/rosemaryknot/process/claims/records.py
+++ b/src/rosemaryknot/process/claims/records.py
@@ -1,7 +1,8 @@
-"""What is remembered of one id, and the decisions that follow from it.
+"""State of one request id, and the decisions that depend on it.
 
-Plain functions of a record and a message; both forms of at-most-once execution use
-them. Times are in the clock of whoever holds the record.
+The functions depend only on a record and a message. Both implementations of
+at-most-once execution use them. Times are in the clock of the process that holds the
+record.
 """
 
 from dataclasses import dataclass, field
@@ -24,7 +25,7 @@
 
 __all__ = [
     "CLOSED_ALL",
-    "OPEN_GRANT_S",
+    "OPEN_GRANT_TTL_S",
     "ClaimRecord",
     "RunState",
     "apply_result",
@@ -32,28 +33,28 @@
     "close_reply",
     "decide_claim",
     "grant",
-    "record_from_map",
-    "record_to_map",
+    "record_from_dict",
+    "record_to_dict",
     "refuse_closed",
     "release",
     "reply_from_run",
 ]
 
 CLOSED_ALL = 2**31
-# A granted claim whose entry says nothing is kept far longer than an answer: its
-# holder may be paused, and send when it wakes. Forgetting the grant would let a
-# repeat run beside it.
-OPEN_GRANT_S = 24 * 3600.0
-RECORD_BYTES = 1000
-RUNNING_RETRY_S = 1.0
-KEY_CLOSED = (
+# A granted claim without a reported result is kept far longer than a response. The
+# entry that holds it may be paused, and send the request when it resumes. If the grant
+# were removed before, a repeated request could run as well.
+OPEN_GRANT_TTL_S = 24 * 3600.0
+RECORD_OVERHEAD_BYTES = 1000
+RUNNING_RETRY_AFTER_S = 1.0
+KEY_CLOSED_DETAIL = (
     "A send without Rosemaryknot-Attempt was refused, which closed the key for good; "
     "send a new Idempotency-Key."
 )
 
 
 class RunState(StrEnum):
-    """What is known of the one run of an id."""
+    """State of the single run of an id."""
 
     NONE = "none"
     GRANTED = "granted"
@@ -63,35 +64,37 @@
 
 @dataclass(slots=True)
 class ClaimRecord:
-    """What is remembered of one id.
+    """State of one id.
 
     Attributes
     ----------
     closed : int
-        Attempts up to this number never run; `CLOSED_ALL` closes the id.
+        Highest attempt that is closed, which means that it and all earlier attempts
+        must never run; `CLOSED_ALL` closes the id.
     state : str
         A `RunState`.
     claim : str
-        Claim that holds or held the grant; empty where nothing was granted.
+        Claim that holds or held the grant; empty if nothing was granted.
     attempt : int
         Attempt of that claim.
     body_digest : bytes
         Digest of the first claim's body; empty before a claim.
     reason : str
-        Why the run is unknown.
+        Why the outcome of the run is unknown.
     status, headers, body
-        The kept answer.
+        The stored response.
     is_kept : bool
-        Whether the answer was small enough to be kept.
+        Whether the response was small enough to be stored.
     granted_s, timeout_s, expires_s : float
-        When the grant was given, how long a run may take, when to forget the record.
+        When the claim was granted, how long a run may take, and when the record
+        expires.
     epoch, version : int
-        Order of the copies of this record.
+        Order of the replicas of this record: the higher pair is the newer one.
     is_known : bool
-        Whether nothing can have been forgotten about the id. False for a record
-        that a successor found in a copy, which may be an old one.
+        Whether the record is certainly complete. False for a record that a successor
+        recovered from a replica, which may be outdated.
     holder : str
-        Process that holds the newest copy; empty where none does.
+        Process that holds the newest replica; empty if there is none.
     """
 
     closed: int = 0
@@ -114,24 +117,25 @@
 
     @property
     def has_run(self) -> bool:
-        """Whether a claim was granted that may have been used."""
+        """Whether a claim was granted and the request may have been sent."""
         return self.state != RunState.NONE
 
     @property
     def size_bytes(self) -> int:
-        """Memory that the record is counted with."""
-        return RECORD_BYTES + len(self.body)
+        """Estimated memory of the record."""
+        return RECORD_OVERHEAD_BYTES + len(self.body)
 
-    def closes(self, attempt: int) -> bool:
-        """Tell whether an attempt is closed; 0 is an undeclared one.
+    def is_closed(self, attempt: int) -> bool:
+        """Return whether an attempt is closed; 0 means that no number was declared.
 
-        An undeclared attempt may be an early one, so any closing covers it.
+        An attempt without a number may be an early one, so it counts as closed as soon
+        as any attempt is.
         """
         return self.closed >= max(attempt, 1)
 
 
 def reply_from_run(record: ClaimRecord, now_s: float) -> ClaimAnswered | ClaimRefused:
-    """Return what a repeat is told while a run stands in the record."""
+    """Return the reply to a repeated claim for an id that has a run."""
     if record.state == RunState.ANSWERED and record.is_kept:
         return ClaimAnswered(record.status, record.headers, record.body)
     if record.state == RunState.ANSWERED:
@@ -141,7 +145,7 @@
         return ClaimRefused(RefusedKind.UNKNOWN, record.reason)
     if now_s < record.granted_s + record.timeout_s:
         return ClaimRefused(
-            RefusedKind.RUNNING, Reason.ALREADY_RUNNING, RUNNING_RETRY_S
+            RefusedKind.RUNNING, Reason.ALREADY_RUNNING, RUNNING_RETRY_AFTER_S
         )
     return ClaimRefused(RefusedKind.UNKNOWN, Reason.TIMED_OUT)
 
@@ -149,21 +153,22 @@
 def decide_claim(
     record: ClaimRecord, request: ClaimRequest, now_s: float
 ) -> Message | None:
-    """Return the answer that a run already gives, or None where there is no run.
+    """Return the reply that follows from an earlier run, or None without a run.
 
     Parameters
     ----------
     record : ClaimRecord
-        What is remembered of the id.
+        State of the id.
     request : ClaimRequest
         The claim.
     now_s : float
-        Time in the record's clock.
+        Current time in the record's clock.
 
     Returns
     -------
     reply : Message or None
-        None where the id has not run; it may still be closed or in doubt.
+        None if the record contains no run. The attempt may still be closed, or the
+        state of the id uncertain.
     """
     if record.state == RunState.GRANTED and record.claim == request.claim:
         return ClaimGranted(request.claim)
@@ -176,27 +181,27 @@
 
 
 def refuse_closed(record: ClaimRecord) -> ClaimRefused:
-    """Return the refusal of a closed attempt."""
+    """Return the refusal of a claim whose attempt is closed."""
     detail = "A later attempt was refused; send a higher Rosemaryknot-Attempt."
     if record.closed >= CLOSED_ALL:
-        detail = KEY_CLOSED
+        detail = KEY_CLOSED_DETAIL
     return ClaimRefused(RefusedKind.NOT_RUN, Reason.ATTEMPT_CLOSED, detail=detail)
 
 
 def grant(record: ClaimRecord, request: ClaimRequest, now_s: float) -> None:
-    """Give the one right to send to a claim."""
+    """Grant a claim the only right to send the request."""
     record.state = RunState.GRANTED
     record.claim = request.claim
     record.attempt = request.attempt
     record.body_digest = request.body_digest
     record.granted_s = now_s
     record.timeout_s = request.timeout_s
-    record.expires_s = now_s + max(OPEN_GRANT_S, request.horizon_s)
+    record.expires_s = now_s + max(OPEN_GRANT_TTL_S, request.horizon_s)
     record.version += 1
 
 
 def release(record: ClaimRecord) -> None:
-    """Take back a grant that was certainly not used."""
+    """Withdraw a grant for which the request was certainly not sent."""
     record.state = RunState.NONE
     record.claim = ""
     record.version += 1
@@ -205,12 +210,12 @@
 def close_attempts(
     record: ClaimRecord, attempt: int, horizon_s: float, now_s: float
 ) -> bool:
-    """Close all attempts up to a number; an undeclared one closes the id.
+    """Close all attempts up to a number; 0 (no number declared) closes the id.
 
     Returns
     -------
     changed : bool
-        Whether the record says more than before.
+        Whether attempts were closed that were open before.
     """
     record.expires_s = max(record.expires_s, now_s + horizon_s)
     number = attempt or CLOSED_ALL
@@ -222,7 +227,7 @@
 
 
 def close_reply(record: ClaimRecord, now_s: float) -> CloseReply:
-    """Return why an id with a run cannot be closed."""
+    """Return the reply that an id with a run cannot be closed."""
     reply = reply_from_run(record, now_s)
     if isinstance(reply, ClaimAnswered):
         return CloseReply(
@@ -235,26 +240,26 @@
     record: ClaimRecord,
     result: ResultRecord,
     now_s: float,
-    room_bytes: float = MAX_KEPT_BODY_BYTES,
+    free_bytes: float = MAX_KEPT_BODY_BYTES,
 ) -> bool:
-    """Take in what came of a claim.
+    """Apply the reported result of a claim.
 
     Parameters
     ----------
     record : ClaimRecord
-        What is remembered of the id.
+        State of the id.
     result : ResultRecord
         The entry's report.
     now_s : float
-        Time in the record's clock.
-    room_bytes : float
-        Room for the body; a larger one is not kept.
+        Current time in the record's clock.
+    free_bytes : float
+        Free capacity for the response body; a larger body is not stored.
 
     Returns
     -------
     changed : bool
-        False for a repeated report, and for one about another claim than the one
-        that holds the grant.
+        False for a repeated report, and for a report about a claim that does not
+        hold the grant.
     """
     is_holder = record.claim == result.claim
     if result.result == ResultKind.NOT_SENT:
@@ -272,7 +277,7 @@
     record.state = RunState.ANSWERED
     record.status = result.status
     size = len(result.body)
-    record.is_kept = result.is_whole and size <= min(room_bytes, MAX_KEPT_BODY_BYTES)
+    record.is_kept = result.is_whole and size <= min(free_bytes, MAX_KEPT_BODY_BYTES)
     if record.is_kept:
         record.headers = [list(pair) for pair in result.headers]
         record.body = result.body
@@ -280,7 +285,7 @@
 
 
 def apply_not_sent(record: ClaimRecord, result: ResultRecord, now_s: float) -> bool:
-    """Take in that a claim was not used."""
+    """Apply the report that the request of a claim was not sent."""
     is_holder = record.claim == result.claim
     if is_holder and record.state != RunState.GRANTED:
         return False
@@ -288,14 +293,14 @@
         release(record)
         record.expires_s = now_s + result.horizon_s
     if result.close or not is_holder:
-        # The claim itself may still be on its way here, slower than this report;
-        # it must find its attempt closed, as nobody waits for its grant any more.
+        # The claim itself may arrive after this report. Its attempt must be closed
+        # by then, since no entry waits for the grant any more.
         close_attempts(record, result.attempt, result.horizon_s, now_s)
     return True
 
 
-def record_to_map(record: ClaimRecord, now_s: float = 0.0) -> dict[str, Any]:
-    """Return the record for the wire, with times relative to ``now_s``."""
+def record_to_dict(record: ClaimRecord, now_s: float = 0.0) -> dict[str, Any]:
+    """Return the record as a dict for messages, with times relative to ``now_s``."""
     return {
         "closed": record.closed,
         "state": str(record.state),
@@ -316,8 +321,8 @@
     }
 
 
-def record_from_map(value: dict[str, Any], now_s: float = 0.0) -> ClaimRecord:
-    """Return the record of `record_to_map`, with times in our own clock."""
+def record_from_dict(value: dict[str, Any], now_s: float = 0.0) -> ClaimRecord:
+    """Return the record of a `record_to_dict` result, with times in the local clock."""
     record = ClaimRecord(**value)
     record.granted_s += now_s
     record.expires_s += now_s
--- a/src/rosemaryknot/process/claims/copies.py
+++ b/src/rosemaryknot/process/claims/replication.py
@@ -1,7 +1,7 @@
-"""Copies of claims at peers: where an owner puts them, and how they are held.
+"""Replication of claim records to peers.
 
-A copy lets the successor of an owner that died tell which ids may have run, and
-which attempts were closed.
+With the replicas, the successor of a failed owner can determine which ids may have run
+and which attempts were closed.
 """
 
 from collections import Counter
@@ -13,11 +13,11 @@
 
 from rosemaryknot.connection.links import CallFailed, Handlers, MessageLink
 from rosemaryknot.process.claims.records import ClaimRecord
-from rosemaryknot.process.claims.shard_map import rendezvous
+from rosemaryknot.process.claims.shard_map import rendezvous_order
 from rosemaryknot.process.claims.table import (
     RecordTable,
     TableBounds,
-    TableUse,
+    TableUsage,
     from_wire,
     to_wire,
 )
@@ -33,46 +33,46 @@
 from rosemaryknot.values.messages import Message
 from rosemaryknot.values.nodes import Node
 
-__all__ = ["Copier", "CopyHolder", "PeerCaller", "holder_name", "pages_of"]
+__all__ = ["PeerClient", "ReplicaStore", "Replicator", "holder_name", "split_pages"]
 
-COPY_TIMEOUT_S = 0.4
-MAX_TRIES = 3
-SUSPECT_S = 2.0
+REPLICATION_TIMEOUT_S = 0.4
+MAX_ATTEMPTS = 3
+SUSPICION_PERIOD_S = 2.0
 GATHER_TIMEOUT_S = 1.0
-PAGE_RECORDS = 500
-PAGE_BYTES = 1024 * 1024
-ANSWER_SHARE = 1.25
-NOT_COPIED = "not copied by request of a test"
+MAX_PAGE_RECORDS = 500
+MAX_PAGE_BYTES = 1024 * 1024
+RESPONSE_CAPACITY_FACTOR = 1.25
+REPLICATION_DISABLED = "replication disabled by a test"
 
 Item = tuple[ClaimId, ClaimRecord]
 
 
-class PeerCaller(Protocol):
-    """What claims ask of the set of peers."""
+class PeerClient(Protocol):
+    """Calls to peers that the claims need."""
 
     def nodes(self) -> list[Node]:
-        """Return the other nodes that seem to live."""
+        """Return the other nodes that are considered live."""
 
     def linked(self) -> list[Node]:
-        """Return those that a link of this node leads to."""
+        """Return the nodes to which this node has a link."""
 
     async def call(
         self, name: str, value: Message, timeout_s: float
     ) -> Message | CallFailed:
-        """Call a node."""
+        """Send a message to a node and return its reply."""
 
     async def broadcast(self, value: Message) -> None:
         """Send a message to every live node."""
 
 
-def pages_of(items: Sequence[Item]) -> list[list[Item]]:
+def split_pages(items: Sequence[Item]) -> list[list[Item]]:
     """Split records so that each page fits into one frame."""
     pages: list[list[Item]] = [[]]
     size = 0
     for item in items:
         record_size = item[1].size_bytes
         if pages[-1] and (
-            len(pages[-1]) >= PAGE_RECORDS or size + record_size > PAGE_BYTES
+            len(pages[-1]) >= MAX_PAGE_RECORDS or size + record_size > MAX_PAGE_BYTES
         ):
             pages.append([])
             size = 0
@@ -82,34 +82,38 @@
 
 
 def is_newer(record: ClaimRecord, other: ClaimRecord) -> bool:
-    """Tell whether a record says more than another one of the same id."""
+    """Return whether a record is newer than another one of the same id."""
     return (record.epoch, record.version) > (other.epoch, other.version)
 
 
 def holder_name(node: Node) -> str:
-    """Return the name of a process: a node that starts again holds nothing."""
+    """Return the name of a node's process.
+
+    It contains the incarnation, since a restarted node holds no replicas.
+    """
     return f"{node.name}/{node.incarnation}"
 
 
-class Copier:
-    """Puts copies of an owner's records to a peer.
+class Replicator:
+    """Replication of an owner's records to peers.
 
     Parameters
     ----------
     node : Node
         This node.
-    peers : PeerCaller
+    peers : PeerClient
         The other nodes.
     safeguards : Safeguards
-        Tests may turn the copy off.
+        Safeguards; tests may turn the replication off.
 
     Attributes
     ----------
     counters : Counter
-        ``copied``, ``failed`` (one peer did not take it), ``uncopied`` (none did).
+        Number of replications by outcome: ``copied``, ``failed`` (one peer did not
+        store the records), ``uncopied`` (no peer stored them).
     """
 
-    def __init__(self, node: Node, peers: PeerCaller, safeguards: Safeguards) -> None:
+    def __init__(self, node: Node, peers: PeerClient, safeguards: Safeguards) -> None:
         self.node = node
         self.peers = peers
         self.safeguards = safeguards
@@ -117,9 +121,12 @@
         self.counters: Counter[str] = Counter()
 
     def candidates(self, index: int) -> list[Node]:
-        """Return the peers to try in order: other zones first, known mutes last."""
+        """Return the peers in the order of attempts.
+
+        Peers in other zones come first, and peers that recently failed last.
+        """
         now_s = trio.current_time()
-        nodes = rendezvous(index, self.peers.nodes())
+        nodes = rendezvous_order(index, self.peers.nodes())
         return sorted(
             nodes,
             key=lambda node: (
@@ -128,27 +135,28 @@
             ),
         )
 
-    async def copy(self, index: int, items: Sequence[Item]) -> str:
-        """Put records to one peer.
+    async def replicate(self, index: int, items: Sequence[Item]) -> str:
+        """Replicate records to one peer.
 
         Parameters
         ----------
         index : int
-            Their shard.
+            Shard of the records.
         items : sequence of (ClaimId, ClaimRecord)
-            The records; few enough for one frame.
+            The records; they must fit into one frame.
 
         Returns
         -------
         holder : str
-            Process that holds them, see `holder_name`; empty where none answered.
+            Process that holds the replicas, see `holder_name`; empty if no peer
+            confirmed them.
         """
         if not self.safeguards.claim_copy:
-            return NOT_COPIED
+            return REPLICATION_DISABLED
         message = CopyRecords(index, to_wire(items, trio.current_time()))
         versions = [record.version for _, record in items]
-        for node in self.candidates(index)[:MAX_TRIES]:
-            reply = await self.peers.call(node.name, message, COPY_TIMEOUT_S)
+        for node in self.candidates(index)[:MAX_ATTEMPTS]:
+            reply = await self.peers.call(node.name, message, REPLICATION_TIMEOUT_S)
             if isinstance(reply, CopiesStored) and reply.stored:
                 self.counters["copied"] += 1
                 for (_, record), version in zip(items, versions, strict=True):
@@ -156,25 +164,27 @@
                         record.holder = holder_name(node)
                 return holder_name(node)
             self.counters["failed"] += 1
-            self.suspected_until_s[node.name] = trio.current_time() + SUSPECT_S
+            self.suspected_until_s[node.name] = trio.current_time() + SUSPICION_PERIOD_S
         self.counters["uncopied"] += 1
         return ""
 
-    async def gather(self, name: str, index: int) -> tuple[list[Item], float] | None:
-        """Fetch the copies that a peer holds of a shard.
+    async def gather_replicas(
+        self, name: str, index: int
+    ) -> tuple[list[Item], float] | None:
+        """Fetch the replicas that a peer holds of a shard.
 
         Parameters
         ----------
         name : str
-            The peer.
+            Name of the peer.
         index : int
-            The shard.
+            Index of the shard.
 
         Returns
         -------
         found : tuple of (list, float) or None
-            Records, and for how many seconds the peer has held copies; None where
-            it is mute.
+            Records, and for how many seconds the peer's process has held replicas;
+            None if the peer does not respond.
         """
         found: list[WireRecord] = []
         after = 0
@@ -189,58 +199,62 @@
                 return from_wire(found, trio.current_time()), reply.age_s
 
 
-class CopyHolder:
-    """Holds copies of the records of other owners.
+class ReplicaStore:
+    """Replicas of the records of other owners.
 
     Parameters
     ----------
     bounds : TableBounds
-        Bounds on all copies together.
+        Bounds on all replicas together.
 
     Attributes
     ----------
     tables : dict of int to RecordTable
-        Copies by shard.
+        Replicas by shard.
     """
 
     def __init__(self, bounds: TableBounds) -> None:
-        self.use = TableUse(bounds)
+        self.usage = TableUsage(bounds)
         self.started_s = trio.current_time()
         self.tables: dict[int, RecordTable] = {}
         self.snapshots: dict[tuple[str, int], list[list[Item]]] = {}
 
     @property
     def age_s(self) -> float:
-        """For how long this process has held copies."""
+        """Time in seconds for which this process has held replicas."""
         return trio.current_time() - self.started_s
 
     def table(self, index: int) -> RecordTable:
-        """Return the copies of a shard."""
-        return self.tables.setdefault(index, RecordTable(self.use))
+        """Return the table with the replicas of a shard."""
+        return self.tables.setdefault(index, RecordTable(self.usage))
 
     def store(self, index: int, items: Sequence[Item]) -> bool:
-        """Hold copies; False where there is no room for one of them."""
+        """Store replicas; return False if the capacity is exhausted for one of them."""
         table = self.table(index)
         for claim_id, record in items:
             held = table.get(claim_id)
-            if held is None and not self.use.has_room():
+            if held is None and not self.usage.has_capacity():
                 return False
             if held is None or is_newer(record, held):
-                if len(record.body) > self.use.room_bytes(ANSWER_SHARE):
-                    # That it ran must be kept; what it was answered may go.
+                if len(record.body) > self.usage.free_bytes(RESPONSE_CAPACITY_FACTOR):
+                    # The fact that the id ran must be kept; its response may be
+                    # discarded.
                     record = replace(record, body=b"", is_kept=False)
                 table.put(claim_id, record)
         return True
 
     def items(self, index: int) -> list[Item]:
-        """Return the copies of a shard."""
+        """Return the replicas of a shard."""
         return list(self.table(index).records.items())
 
     def page(self, request: GatherCopies) -> CopiesGathered:
-        """Return a page of a shard's copies, as they were at the first page."""
+        """Return a page of a shard's replicas.
+
+        All pages belong to a snapshot that is made for the first one.
+        """
         key = (request.node, request.shard)
         if not request.after:
-            self.snapshots[key] = pages_of(self.items(request.shard))
+            self.snapshots[key] = split_pages(self.items(request.shard))
         pages = self.snapshots.get(key, [])
         page = pages[request.after] if request.after < len(pages) else []
         is_last = request.after + 1 >= len(pages)
@@ -251,18 +265,18 @@
         return CopiesGathered(records, after, self.age_s)
 
     def expire(self, now_s: float) -> None:
-        """Forget the copies whose time has passed."""
+        """Remove expired replicas."""
         for table in self.tables.values():
             table.expire(now_s)
 
     def register(self, handlers: Handlers) -> None:
-        """Answer owners and successors."""
+        """Register the handlers for messages of owners and successors."""
 
         @handlers.on(CopyRecords)
-        async def copy(value: CopyRecords, link: MessageLink) -> Message:
+        async def replicate(value: CopyRecords, link: MessageLink) -> Message:
             items = from_wire(value.records, trio.current_time())
             return CopiesStored(self.store(value.shard, items))
 
         @handlers.on(GatherCopies)
-        async def gather(value: GatherCopies, link: MessageLink) -> Message:
+        async def gather_replicas(value: GatherCopies, link: MessageLink) -> Message:
             return self.page(value)
--- a/src/rosemaryknot/process/claims/shard_map.py
+++ b/src/rosemaryknot/process/claims/shard_map.py
@@ -1,7 +1,7 @@
-"""The map of shards to their owners: one object for a region.
+"""Map of shards to their owners, stored as one object per region.
 
-An owner is one incarnation of a node, named without expiry. Each change of owner
-raises the shard's epoch, and each change of the map its number.
+An owner is one incarnation of a node, and its ownership does not expire. Each change
+of the owner increments the shard's epoch, and each change of the map its number.
 """
 
 from collections.abc import Iterable, Sequence
@@ -14,15 +14,15 @@
 from rosemaryknot.values.nodes import Node
 
 __all__ = [
-    "SHARDS",
+    "DEFAULT_SHARD_COUNT",
     "Shard",
     "ShardMap",
-    "first_map",
-    "rendezvous",
+    "initial_map",
+    "rendezvous_order",
     "shard_of",
 ]
 
-SHARDS = 48
+DEFAULT_SHARD_COUNT = 48
 ZONE_HINT = "zone:"
 
 
@@ -33,16 +33,16 @@
     Attributes
     ----------
     zone : str
-        Home zone, where its owner lives if a node of the zone does.
+        Home zone of the shard; its owner is in this zone if the zone has a live node.
     owner : str
         Name of the owning node.
     incarnation : int
-        Incarnation of that node which owns it.
+        Incarnation of the owning node.
     epoch : int
-        Rises with each change of the owner.
+        Incremented with each change of the owner.
     since : int
-        Number of the map by which it was last taken from an owner that had ended;
-        0 where its table was never lost.
+        Number of the map with which the shard was last taken over from a stopped
+        owner; 0 if its table was never lost.
     """
 
     zone: str
@@ -52,7 +52,7 @@
     since: int = 0
 
     def is_owned_by(self, node: Node) -> bool:
-        """Tell whether an incarnation of a node owns it."""
+        """Return whether this incarnation of a node owns the shard."""
         return (self.owner, self.incarnation) == (node.name, node.incarnation)
 
 
@@ -63,9 +63,9 @@
     Attributes
     ----------
     number : int
-        Rises with each change.
+        Incremented with each change.
     shards : list of Shard
-        By index.
+        Shards by index.
     """
 
     number: int
@@ -77,20 +77,20 @@
             self.by_zone.setdefault(shard.zone, []).append(index)
 
     def with_owners(self, changes: dict[int, Shard]) -> "ShardMap":
-        """Return the next map, with some shards changed."""
+        """Return the next map, with some shards replaced."""
         shards = list(self.shards)
         for index, shard in changes.items():
             shards[index] = shard
         return ShardMap(self.number + 1, shards)
 
     def owned_by(self, node: Node) -> list[int]:
-        """Return the shards of one incarnation of a node."""
+        """Return the indexes of the shards that one incarnation of a node owns."""
         return [
             index for index, shard in enumerate(self.shards) if shard.is_owned_by(node)
         ]
 
-    def taken_by(self, indexes: Iterable[int], node: Node) -> "ShardMap":
-        """Return the next map, in which a node takes shards from an ended owner."""
+    def with_takeover(self, indexes: Iterable[int], node: Node) -> "ShardMap":
+        """Return the next map, with shards of a stopped owner assigned to a node."""
         changes = {}
         for index in indexes:
             shard = self.shards[index]
@@ -103,8 +103,8 @@
             )
         return self.with_owners(changes)
 
-    def handed_to(self, index: int, node: Node) -> "ShardMap":
-        """Return the next map, in which a shard and its table went to a node."""
+    def with_handover(self, index: int, node: Node) -> "ShardMap":
+        """Return the next map, with a shard that was handed over with its table."""
         shard = self.shards[index]
         handed = replace(
             shard,
@@ -115,7 +115,7 @@
         return self.with_owners({index: handed})
 
     def to_value(self) -> dict[str, Any]:
-        """Return the object's value."""
+        """Return the map as the value of its stored object."""
         return {
             "number": self.number,
             "shards": [asdict(shard) for shard in self.shards],
@@ -123,12 +123,12 @@
 
     @classmethod
     def from_value(cls, value: dict[str, Any]) -> "ShardMap":
-        """Return the map of an object's value."""
+        """Return the map for the value of a stored object."""
         return cls(value["number"], [Shard(**shard) for shard in value["shards"]])
 
 
-def rendezvous(index: int, nodes: Sequence[Node]) -> list[Node]:
-    """Return nodes in the order in which they are preferred for a shard."""
+def rendezvous_order(index: int, nodes: Sequence[Node]) -> list[Node]:
+    """Return nodes in order of preference for a shard, by rendezvous hashing."""
     return sorted(
         nodes,
         key=lambda node: xxhash.xxh3_64_intdigest(f"{index}/{node.name}".encode()),
@@ -138,8 +138,8 @@
 def shard_of(shard_map: ShardMap, claim_id: ClaimId) -> int:
     """Return the shard of an id.
 
-    A key like ``zone:waco-a/booking-7`` gets a shard whose home is that zone, so
-    that a zone which is cut off still owns what its callers book.
+    A key like ``zone:waco-a/booking-7`` gets a shard whose home is that zone, so that
+    the zone still owns the ids of its callers during a network partition.
 
     Parameters
     ----------
@@ -151,7 +151,7 @@
     Returns
     -------
     index : int
-        The shard.
+        Index of the shard.
     """
     text = "\0".join((claim_id.customer, claim_id.service, claim_id.key))
     digest = xxhash.xxh3_64_intdigest(text.encode())
@@ -163,20 +163,20 @@
     return digest % len(shard_map.shards)
 
 
-def first_map(nodes: Sequence[Node], count: int = SHARDS) -> ShardMap:
-    """Return the first map of a region: shards spread over zones, then over nodes.
+def initial_map(nodes: Sequence[Node], count: int = DEFAULT_SHARD_COUNT) -> ShardMap:
+    """Return the first map of a region, with shards distributed over zones and nodes.
 
     Parameters
     ----------
     nodes : sequence of Node
         Live nodes.
     count : int
-        Number of shards, for good.
+        Number of shards, which cannot be changed later.
 
     Returns
     -------
     shard_map : ShardMap
-        Number 1.
+        The map with number 1.
     """
     zones = sorted({node.zone for node in nodes})
     shards = []
--- a/src/rosemaryknot/process/claims/map_keeper.py
+++ b/src/rosemaryknot/process/claims/shard_map_manager.py
@@ -1,12 +1,16 @@
-"""What a node knows of the shard map, and conditional changes of it."""
+"""Local state of the shard map, and conditional changes of the stored map."""
 
 from collections.abc import Callable
 from enum import Enum, auto
 
 import trio
 
-from rosemaryknot.process.claims.copies import PeerCaller
-from rosemaryknot.process.claims.shard_map import SHARDS, ShardMap, first_map
+from rosemaryknot.process.claims.replication import PeerClient
+from rosemaryknot.process.claims.shard_map import (
+    DEFAULT_SHARD_COUNT,
+    ShardMap,
+    initial_map,
+)
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import gauge
 from rosemaryknot.values.claim_peers import MapAsk, MapPush
@@ -19,56 +23,56 @@
     Written,
 )
 
-__all__ = ["Change", "MapKeeper"]
+__all__ = ["MapChange", "ShardMapManager"]
 
 KIND = "shards"
 NAME = "map"
-MAX_ROUNDS = 5
-ASK_TIMEOUT_S = 1.0
+MAX_ATTEMPTS = 5
+REQUEST_TIMEOUT_S = 1.0
 
 log = logger("shards")
 NUMBER = gauge("shard_map_number", "Number of the newest shard map that is known.")
 
 
-class Change(Enum):
-    """What came of a change of the map."""
+class MapChange(Enum):
+    """Outcome of a change of the map."""
 
     DONE = auto()
     NOT_NEEDED = auto()
     FAILED = auto()
-    UNSURE = auto()
+    UNCERTAIN = auto()
 
 
-class MapKeeper:
-    """Follows the shard map; only a higher number replaces what is known.
+class ShardMapManager:
+    """Newest known shard map, replaced only by a map with a higher number.
 
     Parameters
     ----------
     node : Node
         This node.
     store : ObjectStore
-        Holds the map.
-    peers : PeerCaller
-        Tell newer maps, so that the store is asked seldom.
+        Stores the map.
+    peers : PeerClient
+        Peers that send newer maps, so that the store is rarely read.
     count : int
         Number of shards of a new map.
 
     Attributes
     ----------
     map : ShardMap or None
-        The newest map known.
+        The newest known map.
     changed : trio.Event
-        Set when a newer map is known, then replaced.
+        Set and replaced when a newer map is adopted.
     store_calls : int
-        Calls made to the store.
+        Number of calls made to the store.
     """
 
     def __init__(
         self,
         node: Node,
         store: ObjectStore,
-        peers: PeerCaller,
-        count: int = SHARDS,
+        peers: PeerClient,
+        count: int = DEFAULT_SHARD_COUNT,
     ) -> None:
         self.node = node
         self.store = store
@@ -80,11 +84,11 @@
 
     @property
     def number(self) -> int:
-        """Number of the newest map; 0 for none."""
+        """Number of the newest known map; 0 if there is none."""
         return 0 if self.map is None else self.map.number
 
     def adopt(self, shard_map: ShardMap) -> bool:
-        """Take in a map if it is newer than the one known."""
+        """Adopt a map if it is newer than the known one; return whether it was."""
         if shard_map.number <= self.number:
             return False
         self.map = shard_map
@@ -94,68 +98,68 @@
         return True
 
     def adopt_push(self, push: MapPush) -> bool:
-        """Take in a peer's map."""
+        """Adopt a peer's map if it is newer; return whether it was."""
         return push.shard_map is not None and self.adopt(
             ShardMap.from_value(push.shard_map)
         )
 
     def push(self) -> MapPush:
-        """Return the known map for a peer."""
+        """Return the message that sends the known map to a peer."""
         return MapPush(None if self.map is None else self.map.to_value())
 
     async def read(self) -> StoredObject | Missing | PlatformFailed:
-        """Read the map's object and adopt it."""
+        """Read the stored map, adopt it if newer, and return the stored object."""
         self.store_calls += 1
         found = await self.store.read(KIND, NAME)
         if isinstance(found, StoredObject):
             self.adopt(ShardMap.from_value(found.value))
         return found
 
-    async def ask(self, name: str) -> bool:
-        """Ask a peer for a newer map; False where it does not answer."""
-        reply = await self.peers.call(name, MapAsk(self.number), ASK_TIMEOUT_S)
+    async def request_map(self, name: str) -> bool:
+        """Request a newer map from a peer; return whether it responded."""
+        reply = await self.peers.call(name, MapAsk(self.number), REQUEST_TIMEOUT_S)
         if isinstance(reply, MapPush):
             self.adopt_push(reply)
         return isinstance(reply, MapPush)
 
-    async def ask_all(self) -> None:
-        """Ask every live peer for a newer map."""
+    async def request_map_from_all(self) -> None:
+        """Request a newer map from every live peer."""
         async with trio.open_nursery() as nursery:
             for node in self.peers.nodes():
-                nursery.start_soon(self.ask, node.name)
+                nursery.start_soon(self.request_map, node.name)
 
     async def create(self) -> None:
-        """Write the first map of the region, over the nodes that live now."""
-        shard_map = first_map([self.node, *self.peers.nodes()], self.count)
+        """Write the first map of the region, for the nodes that are currently live."""
+        shard_map = initial_map([self.node, *self.peers.nodes()], self.count)
         self.store_calls += 1
         written = await self.store.create(KIND, NAME, shard_map.to_value())
         if isinstance(written, Written):
-            log.info("wrote the first map", shards=len(shard_map.shards))
+            log.info("created the shard map", shards=len(shard_map.shards))
             self.adopt(shard_map)
             await self.peers.broadcast(self.push())
 
-    async def change(self, decide: Callable[[ShardMap], ShardMap | None]) -> Change:
+    async def change(self, decide: Callable[[ShardMap], ShardMap | None]) -> MapChange:
         """Change the map by conditional writes.
 
         Parameters
         ----------
         decide : callable
-            Returns the next map of the stored one, or None where nothing is to be
-            done. It is asked again after each conflict and each lost answer.
+            Returns the map that replaces the stored one, or None if no change is
+            needed. It is called again after each conflict and each lost response.
 
         Returns
         -------
-        change : Change
-            ``UNSURE`` where a write may have landed, or may still land.
+        change : MapChange
+            ``UNCERTAIN`` if a write may have taken effect, or may still do so.
         """
-        failure = Change.FAILED
-        for _ in range(MAX_ROUNDS):
+        failure = MapChange.FAILED
+        for _ in range(MAX_ATTEMPTS):
             found = await self.read()
             if not isinstance(found, StoredObject) or self.is_older(found):
                 return failure
             shard_map = decide(ShardMap.from_value(found.value))
             if shard_map is None:
-                return Change.NOT_NEEDED
+                return MapChange.NOT_NEEDED
             self.store_calls += 1
             written = await self.store.update(
                 KIND, NAME, shard_map.to_value(), found.version
@@ -163,18 +167,23 @@
             if isinstance(written, Written):
                 self.adopt(shard_map)
                 await self.peers.broadcast(self.push())
-                return Change.DONE
+                return MapChange.DONE
             if isinstance(written, PlatformFailed) and written.maybe_done:
-                failure = Change.UNSURE
+                failure = MapChange.UNCERTAIN
         return failure
 
     def is_older(self, found: StoredObject) -> bool:
-        """Tell whether the store went back, as a restored backup does.
+        """Return whether the stored map is older than the known one.
 
-        Building on the older map would name owners that have handed their shards on.
+        This happens if the store is restored from a backup. A change based on the older
+        map would name owners that have handed over their shards since.
         """
         number = found.value["number"]
         if number >= self.number:
             return False
-        log.error("the store's map is older than ours", stored=number, ours=self.number)
+        log.error(
+            "stored shard map is older than the known one",
+            stored=number,
+            ours=self.number,
+        )
         return True
--- a/src/rosemaryknot/process/claims/shards.py
+++ b/src/rosemaryknot/process/claims/shards.py
@@ -1,6 +1,7 @@
-"""Target form: ids hash to shards, and each shard's owner admits from memory.
+"""At-most-once execution with shards, the form ``shards``.
 
-A claim costs a call to the owner and a copy to a peer, and no call of the store.
+Ids are hashed to shards, and the owner of each shard admits claims from memory. A claim
+costs a call to the owner and a replica at a peer, but no call to the store.
 """
 
 import random
@@ -11,12 +12,12 @@
 import trio
 
 from rosemaryknot.connection.links import CallFailed, Handlers, MessageLink
-from rosemaryknot.process.claims.copies import Copier, CopyHolder, PeerCaller
-from rosemaryknot.process.claims.duties import ShardDuties
-from rosemaryknot.process.claims.forms import claim_form, refuse_unproven
-from rosemaryknot.process.claims.map_keeper import MapKeeper
+from rosemaryknot.process.claims.forms import claim_form, refuse_unconfirmed
+from rosemaryknot.process.claims.maintenance import ShardMaintenance
 from rosemaryknot.process.claims.ownership import ShardOwnership
-from rosemaryknot.process.claims.shard_map import SHARDS, shard_of
+from rosemaryknot.process.claims.replication import PeerClient, ReplicaStore, Replicator
+from rosemaryknot.process.claims.shard_map import DEFAULT_SHARD_COUNT, shard_of
+from rosemaryknot.process.claims.shard_map_manager import ShardMapManager
 from rosemaryknot.process.claims.table import TableBounds
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.safeguards import Safeguards
@@ -48,7 +49,7 @@
 
 ROUTE_TIMEOUT_S = 2.6
 OWNER_TIMEOUT_S = 1.8
-MOVED_PAUSE_S = 0.05
+NOT_OWNER_RETRY_S = 0.05
 
 log = logger("shards")
 
@@ -57,79 +58,79 @@
 
 @claim_form("shards")
 class ShardClaims:
-    """Pass claims on to the owners of their shards, and own some.
+    """Claim form that forwards claims to the owners of their shards.
 
     Parameters
     ----------
     node : Node
-        This node, with the incarnation of this start.
-    peers : PeerCaller
+        This node, with the incarnation of this process.
+    peers : PeerClient
         The other nodes.
     store : ObjectStore
-        Holds the shard map.
+        Stores the shard map.
     platform : InstanceSource
-        Tells whether an instance is terminated.
+        Source of instance states; a terminated instance has no owner process.
     bounds : TableBounds, optional
-        Bounds on owned records, and again on copies held for others.
+        Bounds on owned records, and separately on replicas held for other owners.
     safeguards : Safeguards, optional
-        Tests may turn safeguards off.
+        Safeguards that tests may turn off.
     expected_nodes : callable, optional
-        See `ShardDuties`.
+        See `ShardMaintenance`.
     count : int
         Number of shards of a new map.
     rng : random.Random, optional
-        Picks peers to ask.
+        Selects the peers that are asked for newer maps.
 
     Attributes
     ----------
-    maps : MapKeeper
-        The shard map.
+    maps : ShardMapManager
+        Manages the shard map.
     ownership : ShardOwnership
-        The shards in this node's hands.
-    duties : ShardDuties
-        Background tasks; `ShardDuties.run` must be started.
+        Shards that this node owns.
+    maintenance : ShardMaintenance
+        Background tasks; `ShardMaintenance.run` must be started.
     """
 
     def __init__(
         self,
         node: Node,
-        peers: PeerCaller,
+        peers: PeerClient,
         store: ObjectStore,
         platform: InstanceSource,
         bounds: TableBounds | None = None,
         safeguards: Safeguards | None = None,
         expected_nodes: Callable[[], int] = lambda: 1,
-        count: int = SHARDS,
+        count: int = DEFAULT_SHARD_COUNT,
         rng: random.Random | None = None,
     ) -> None:
         bounds = bounds or TableBounds()
         self.node = node
         self.peers = peers
-        self.maps = MapKeeper(node, store, peers, count)
-        self.copier = Copier(node, peers, safeguards or Safeguards())
-        self.holder = CopyHolder(bounds)
+        self.maps = ShardMapManager(node, store, peers, count)
+        self.replicator = Replicator(node, peers, safeguards or Safeguards())
+        self.holder = ReplicaStore(bounds)
         self.ownership = ShardOwnership(
-            node, self.maps, self.copier, self.holder, bounds
+            node, self.maps, self.replicator, self.holder, bounds
         )
-        self.duties = ShardDuties(
+        self.maintenance = ShardMaintenance(
             node, self.maps, self.ownership, platform, expected_nodes, rng
         )
 
     async def run(self) -> None:
-        """Look after this node's shards until cancelled; see `ShardDuties.run`."""
-        await self.duties.run()
+        """Maintain this node's shards until cancelled; see `ShardMaintenance.run`."""
+        await self.maintenance.run()
 
     async def hand_over(self) -> None:
-        """Hand this node's shards to others, for a planned stop."""
-        left = await self.duties.hand_over_all()
-        if left:
-            log.error("shards are left without an owner", shards=left)
+        """Hand over this node's shards to other nodes, for a graceful shutdown."""
+        remaining = await self.maintenance.hand_over_all()
+        if remaining:
+            log.error("could not hand over all shards", shards=remaining)
 
     async def claim(self, request: ClaimRequest) -> Message:
-        """Grant or refuse the right to send; see `ClaimForm.claim`."""
+        """Grant or refuse the right to send a request; see `ClaimForm.claim`."""
         reply = await self.route(request, request.id)
         if isinstance(reply, CallFailed):
-            return refuse_unproven(
+            return refuse_unconfirmed(
                 request, Reason.OWNER_UNREACHABLE, reply.maybe_handled
             )
         return reply
@@ -142,38 +143,39 @@
         return CloseReply(False, RefusedKind.UNKNOWN, Reason.OWNER_UNREACHABLE)
 
     async def record(self, result: ResultRecord) -> ResultStored:
-        """Take in what came of a claim; see `ClaimForm.record`."""
+        """Apply the result of a claim; see `ClaimForm.record`."""
         reply = await self.route(result, result.id)
         return reply if isinstance(reply, ResultStored) else ResultStored(False)
 
     async def route(self, value: Message, claim_id: ClaimId) -> Message | CallFailed:
-        """Have the owner of an id handle a message.
+        """Send a message to the owner of an id and return the reply.
 
-        A node that does not admit for the shard says so, and has done nothing; the
-        message then goes to whom its map names. A call without an answer is not
-        sent again, since it may have been handled.
+        A node that does not handle calls for the shard replies `NotOwner`, without
+        having changed anything; the message is then sent to the owner named in that
+        node's map. A call without a reply is not repeated, since it may have been
+        handled.
 
         Returns
         -------
         reply : Message or CallFailed
-            The owner's reply, or why there is none.
+            The owner's reply, or the reason for the failure.
         """
         failed = CallFailed("no owner", maybe_handled=False)
         with trio.move_on_after(ROUTE_TIMEOUT_S):
             while True:
                 failed = CallFailed("timeout", maybe_handled=True)
-                reply = await self.ask_owner(value, claim_id)
+                reply = await self.call_owner(value, claim_id)
                 if not isinstance(reply, NotOwner):
                     return reply
                 failed = CallFailed("no owner", maybe_handled=False)
                 self.maps.adopt_push(MapPush(reply.shard_map))
-                await trio.sleep(MOVED_PAUSE_S)
+                await trio.sleep(NOT_OWNER_RETRY_S)
         return failed
 
-    async def ask_owner(
+    async def call_owner(
         self, value: Message, claim_id: ClaimId
     ) -> Message | CallFailed:
-        """Handle a message here or at the node that the map names."""
+        """Handle a message locally or at the owner that the map names."""
         if self.maps.map is None:
             return NotOwner()
         index = shard_of(self.maps.map, claim_id)
@@ -187,7 +189,7 @@
         return CallFailed("unexpected reply", maybe_handled=True)
 
     async def handle(self, value: Message, claim_id: ClaimId) -> Message:
-        """Handle a message for a shard of our own, or say that it is not ours."""
+        """Handle a message if this node owns the shard, else reply `NotOwner`."""
         if self.maps.map is None:
             return NotOwner()
         owned = self.ownership.active(shard_of(self.maps.map, claim_id))
@@ -196,24 +198,24 @@
         return await owned.handle(value)
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of the shards at this node.
+        """Return the state of the shards at this node for the status API.
 
         Returns
         -------
         status : dict
-            The map's number, what this node owns and remembers, and the owners that
-            do not answer with the number of their shards.
+            The map's number, the shards, ids and replicas of this node, and the silent
+            owners with the number of their shards.
         """
         shards = [] if self.maps.map is None else self.maps.map.shards
-        absent = self.duties.absent_since_s
+        absent = self.maintenance.absent_since_s
         return {
             "map_number": self.maps.number,
             "shards": len(shards),
             "owned": sorted(self.ownership.owned),
-            "ids": self.ownership.use.records,
-            "bytes": self.ownership.use.bytes,
-            "copies_held": self.holder.use.records,
-            "copies": dict(self.copier.counters),
+            "ids": self.ownership.usage.records,
+            "bytes": self.ownership.usage.bytes,
+            "copies_held": self.holder.usage.records,
+            "copies": dict(self.replicator.counters),
             "mute_owners": dict(
                 Counter(shard.owner for shard in shards if shard.owner in absent)
             ),
@@ -221,7 +223,7 @@
         }
 
     def register(self, handlers: Handlers) -> None:
-        """Answer the other nodes.
+        """Register the handlers for messages of other nodes.
 
         Parameters
         ----------
@@ -238,8 +240,8 @@
             return await self.handle(value, value.id)
 
         @handlers.on(HandoverRecords)
-        async def handover(part: HandoverRecords, link: MessageLink) -> Message:
-            return self.ownership.take_in(part)
+        async def handover(page: HandoverRecords, link: MessageLink) -> Message:
+            return self.ownership.receive_table_page(page)
 
         @handlers.on(MapAsk)
         async def map_ask(asked: MapAsk, link: MessageLink) -> Message:
--- a/src/rosemaryknot/process/claims/ended_owners.py
+++ b/src/rosemaryknot/process/claims/stopped_owners.py
@@ -1,4 +1,4 @@
-"""What proves that an owner's process has ended."""
+"""Confirmation that the process of an owner has stopped."""
 
 import trio
 
@@ -7,61 +7,61 @@
 from rosemaryknot.values.nodes import BackendServer, ServerState
 from rosemaryknot.values.platform import InstanceSource
 
-__all__ = ["EndedOwners"]
+__all__ = ["StoppedOwners"]
 
-ASK_PLATFORM_S = 2.0
+PLATFORM_QUERY_INTERVAL_S = 2.0
 
 log = logger("shards")
 
 
-class EndedOwners:
-    """Owners that are proven to have ended: by the platform, or by an operator's word.
+class StoppedOwners:
+    """Owners that the platform or an operator has confirmed to have stopped.
 
     Parameters
     ----------
     platform : InstanceSource
-        Tells whether an instance is terminated.
+        Source of instance states; a terminated instance has no owner process.
 
     Attributes
     ----------
     confirmed : set of (str, int)
-        Name and incarnation of the processes whose end an operator confirmed. The
-        word does not cover a later process of the same node.
+        Name and incarnation of the processes that an operator confirmed to have
+        stopped. A confirmation does not cover a later process of the same node.
     """
 
     def __init__(self, platform: InstanceSource) -> None:
         self.platform = platform
         self.confirmed: set[tuple[str, int]] = set()
-        self.asked_s: dict[str, float] = {}
+        self.last_query_s: dict[str, float] = {}
 
     def confirm(self, shard: Shard, operator: str = "") -> None:
-        """Take an operator's word that the process that owns a shard has ended.
+        """Record an operator's confirmation that the owner of a shard has stopped.
 
-        If it still runs, ids of its shards can run twice.
+        If the owner's process still runs, ids of its shards can run twice.
 
         Parameters
         ----------
         shard : Shard
-            One of its shards.
+            One of the owner's shards.
         operator : str
-            Who said so, for the log.
+            Name of the operator, for the log.
         """
         process = (shard.owner, shard.incarnation)
         if process not in self.confirmed:
             self.confirmed.add(process)
             log.warning(
-                "an operator confirmed that an owner ended",
+                "operator confirmed that a shard owner has stopped",
                 owner=shard.owner,
                 incarnation=shard.incarnation,
                 operator=operator,
             )
 
     def is_confirmed(self, shard: Shard) -> bool:
-        """Tell whether an operator confirmed the end of a shard's owner."""
+        """Return whether an operator confirmed that a shard's owner has stopped."""
         return (shard.owner, shard.incarnation) in self.confirmed
 
-    async def among(self, shards: dict[int, Shard]) -> dict[int, Shard]:
-        """Return the shards whose owner has ended.
+    async def select_stopped(self, shards: dict[int, Shard]) -> dict[int, Shard]:
+        """Return the shards whose owner is confirmed to have stopped.
 
         Parameters
         ----------
@@ -70,8 +70,8 @@
 
         Returns
         -------
-        ended : dict of int to Shard
-            Those that may be taken.
+        stopped : dict of int to Shard
+            The shards that may be taken over.
         """
         if not shards:
             return {}
@@ -84,17 +84,22 @@
         return shards if await self.is_terminated(name) else confirmed
 
     async def is_terminated(self, name: str) -> bool:
-        """Ask the platform whether a node's instance is terminated.
+        """Query the platform whether a node's instance is terminated.
 
-        Leaving is no proof, since the process still runs; nor is absence from the
-        list, which lags. Only what says "terminated" lets the ownership pass.
+        Only the state "terminated" permits a takeover. An instance that is leaving
+        still runs the process, and a missing instance is no confirmation, since the
+        platform's list lags behind.
         """
         now_s = trio.current_time()
-        if now_s < self.asked_s.get(name, -ASK_PLATFORM_S) + ASK_PLATFORM_S:
+        if (
+            now_s
+            < self.last_query_s.get(name, -PLATFORM_QUERY_INTERVAL_S)
+            + PLATFORM_QUERY_INTERVAL_S
+        ):
             return False
-        self.asked_s[name] = now_s
+        self.last_query_s[name] = now_s
         found = await self.platform.instance(name)
         if isinstance(found, BackendServer) and found.state == ServerState.TERMINATED:
             return True
-        log.warning("an owner does not answer and is not proven ended", owner=name)
+        log.warning("shard owner is silent but not confirmed as stopped", owner=name)
         return False
--- a/src/rosemaryknot/process/claims/table.py
+++ b/src/rosemaryknot/process/claims/table.py
@@ -1,4 +1,4 @@
-"""Records by id, with a bound on their number and bytes."""
+"""Tables of records by id, with bounds on the number and memory of records."""
 
 import heapq
 from collections.abc import Iterable
@@ -7,28 +7,28 @@
 from rosemaryknot.process.claims.records import (
     ClaimRecord,
     RunState,
-    record_from_map,
-    record_to_map,
+    record_from_dict,
+    record_to_dict,
 )
 from rosemaryknot.values.claim_peers import WireRecord
 from rosemaryknot.values.claims import ClaimId
 
-__all__ = ["RecordTable", "TableBounds", "TableUse", "from_wire", "to_wire"]
+__all__ = ["RecordTable", "TableBounds", "TableUsage", "from_wire", "to_wire"]
 
-OPEN_CHECK_S = 600.0
+OPEN_GRANT_CHECK_INTERVAL_S = 600.0
 
 
 @dataclass(slots=True)
 class TableBounds:
-    """Bounds on what a node remembers of ids.
+    """Bounds on the records that a node stores.
 
     Attributes
     ----------
     max_records : int
-        Bound on the records of claims. A quarter more is left for closings, which
-        must not fail where new claims are refused.
+        Maximum number of records for claims. A quarter more is reserved for close
+        requests, which must not fail when new claims are refused.
     max_bytes : int
-        Bound on their memory, kept answers included.
+        Maximum memory of the records, including stored responses.
     """
 
     max_records: int = 100_000
@@ -36,143 +36,144 @@
 
 
 @dataclass(slots=True)
-class TableUse:
-    """What all tables of a node use together.
+class TableUsage:
+    """Usage of all tables of a node together.
 
     Attributes
     ----------
     bounds : TableBounds
-        The bounds.
+        Bounds on the usage.
     records, bytes : int
-        What is used.
+        Number of stored records and their memory.
     """
 
     bounds: TableBounds
     records: int = 0
     bytes: int = 0
 
-    def has_room(self, share: float = 1.0) -> bool:
-        """Tell whether a new id fits into a share of the bounds."""
+    def has_capacity(self, factor: float = 1.0) -> bool:
+        """Return whether a new id fits within the bounds multiplied by a factor."""
         return (
-            self.records < self.bounds.max_records * share
-            and self.bytes < self.bounds.max_bytes * share
+            self.records < self.bounds.max_records * factor
+            and self.bytes < self.bounds.max_bytes * factor
         )
 
-    def room_bytes(self, share: float = 1.0) -> float:
-        """Return how many bytes are left of a share of the bound."""
-        return max(0.0, self.bounds.max_bytes * share - self.bytes)
+    def free_bytes(self, factor: float = 1.0) -> float:
+        """Return the free memory in bytes, with the bound multiplied by a factor."""
+        return max(0.0, self.bounds.max_bytes * factor - self.bytes)
 
 
 class RecordTable:
     """Records of one shard.
 
-    Nothing is dropped before its time: a forgotten id would run again.
+    No record is evicted before it expires: a request whose record is missing would run
+    again.
 
     Parameters
     ----------
-    use : TableUse
-        Shared by all tables of the node.
+    usage : TableUsage
+        Usage, shared by all tables of the node.
 
     Attributes
     ----------
     records : dict of ClaimId to ClaimRecord
-        By id.
+        Records by id.
     """
 
-    def __init__(self, use: TableUse) -> None:
-        self.use = use
+    def __init__(self, usage: TableUsage) -> None:
+        self.usage = usage
         self.records: dict[ClaimId, ClaimRecord] = {}
-        self.expiring: list[tuple[float, int, ClaimId]] = []
-        self.planned: set[ClaimId] = set()
-        self.open: set[ClaimId] = set()
-        self.open_checked_s = 0.0
-        self.counted: dict[ClaimId, int] = {}
-        self.added = 0
+        self.expiry_heap: list[tuple[float, int, ClaimId]] = []
+        self.scheduled: set[ClaimId] = set()
+        self.open_grants: set[ClaimId] = set()
+        self.last_open_check_s = 0.0
+        self.counted_bytes: dict[ClaimId, int] = {}
+        self.insertions = 0
 
     def __len__(self) -> int:
         return len(self.records)
 
     def get(self, claim_id: ClaimId) -> ClaimRecord | None:
-        """Return the record of an id."""
+        """Return the record of an id, or None."""
         return self.records.get(claim_id)
 
     def put(self, claim_id: ClaimId, record: ClaimRecord) -> None:
-        """Keep a record, and count what it takes now."""
+        """Store a record and update the usage."""
         if claim_id not in self.records:
-            self.use.records += 1
+            self.usage.records += 1
         size = record.size_bytes
-        self.use.bytes += size - self.counted.get(claim_id, 0)
-        self.counted[claim_id] = size
+        self.usage.bytes += size - self.counted_bytes.get(claim_id, 0)
+        self.counted_bytes[claim_id] = size
         self.records[claim_id] = record
         if record.state == RunState.GRANTED:
-            # Kept for a day, but nearly all change within seconds: in the heap
-            # their entries would outnumber the records by far.
-            self.open.add(claim_id)
+            # Open grants are kept for a day, but nearly all change within seconds. In
+            # the heap, their outdated entries would far outnumber the records.
+            self.open_grants.add(claim_id)
         else:
-            self.open.discard(claim_id)
-            self.plan(claim_id, record.expires_s)
+            self.open_grants.discard(claim_id)
+            self.schedule(claim_id, record.expires_s)
 
-    def plan(self, claim_id: ClaimId, expires_s: float) -> None:
-        """Look at a record again when its time has passed."""
-        if claim_id not in self.planned:
-            self.planned.add(claim_id)
-            self.added += 1
-            heapq.heappush(self.expiring, (expires_s, self.added, claim_id))
+    def schedule(self, claim_id: ClaimId, expires_s: float) -> None:
+        """Schedule the expiry check of a record."""
+        if claim_id not in self.scheduled:
+            self.scheduled.add(claim_id)
+            self.insertions += 1
+            heapq.heappush(self.expiry_heap, (expires_s, self.insertions, claim_id))
 
     def remove(self, claim_id: ClaimId) -> None:
-        """Forget a record."""
+        """Remove a record and update the usage."""
         if self.records.pop(claim_id, None) is not None:
-            self.use.records -= 1
-            self.use.bytes -= self.counted.pop(claim_id)
-            self.open.discard(claim_id)
+            self.usage.records -= 1
+            self.usage.bytes -= self.counted_bytes.pop(claim_id)
+            self.open_grants.discard(claim_id)
 
     def expire(self, now_s: float) -> int:
-        """Forget the records whose time has passed.
+        """Remove expired records.
 
         Returns
         -------
         count : int
-            Number of records forgotten.
+            Number of removed records.
         """
         before = len(self.records)
-        while self.expiring and self.expiring[0][0] <= now_s:
-            _, _, claim_id = heapq.heappop(self.expiring)
-            self.planned.discard(claim_id)
-            self.check(claim_id, now_s)
-        if now_s >= self.open_checked_s + OPEN_CHECK_S:
-            self.open_checked_s = now_s
-            for claim_id in list(self.open):
-                self.check(claim_id, now_s)
+        while self.expiry_heap and self.expiry_heap[0][0] <= now_s:
+            _, _, claim_id = heapq.heappop(self.expiry_heap)
+            self.scheduled.discard(claim_id)
+            self.remove_if_expired(claim_id, now_s)
+        if now_s >= self.last_open_check_s + OPEN_GRANT_CHECK_INTERVAL_S:
+            self.last_open_check_s = now_s
+            for claim_id in list(self.open_grants):
+                self.remove_if_expired(claim_id, now_s)
         return before - len(self.records)
 
-    def check(self, claim_id: ClaimId, now_s: float) -> None:
-        """Forget a record if its time has passed, else look again later."""
+    def remove_if_expired(self, claim_id: ClaimId, now_s: float) -> None:
+        """Remove a record if it is expired, else schedule the next check."""
         record = self.records.get(claim_id)
         if record is None:
             return
         if record.expires_s <= now_s:
             self.remove(claim_id)
-        elif claim_id not in self.open:
-            self.plan(claim_id, record.expires_s)
+        elif claim_id not in self.open_grants:
+            self.schedule(claim_id, record.expires_s)
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Remove all records."""
         for claim_id in list(self.records):
             self.remove(claim_id)
-        self.expiring.clear()
-        self.planned.clear()
+        self.expiry_heap.clear()
+        self.scheduled.clear()
 
 
 def to_wire(
     items: Iterable[tuple[ClaimId, ClaimRecord]], now_s: float
 ) -> list[WireRecord]:
-    """Return records for the wire, with times relative to ``now_s``."""
+    """Return records as message values, with times relative to ``now_s``."""
     return [
         [
             claim_id.customer,
             claim_id.service,
             claim_id.key,
-            record_to_map(record, now_s),
+            record_to_dict(record, now_s),
         ]
         for claim_id, record in items
     ]
@@ -181,8 +182,8 @@
 def from_wire(
     records: Iterable[WireRecord], now_s: float
 ) -> list[tuple[ClaimId, ClaimRecord]]:
-    """Return records from the wire, with times in our own clock."""
+    """Return the records of message values, with times in the local clock."""
     return [
-        (ClaimId(customer, service, key), record_from_map(fields, now_s))
+        (ClaimId(customer, service, key), record_from_dict(fields, now_s))
         for customer, service, key, fields in records
     ]
--- a/src/rosemaryknot/process/configuration.py
+++ b/src/rosemaryknot/process/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that is in force in this process."""
+"""The active configuration of this process."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 __all__ = ["ApplyResult", "ConfigurationHolder", "View"]
 
-IN_FORCE = gauge("configuration_number", "Number of the configuration in force.")
+ACTIVE_NUMBER = gauge("configuration_number", "Number of the configuration in force.")
 IN_CONFLICT = gauge(
     "configuration_conflict",
     "1 while two documents are known under one number; changes are not taken.",
@@ -28,7 +28,7 @@
 
 
 class View(Protocol):
-    """What the holder needs of a version's derived tables."""
+    """The attributes of a version's derived tables that the holder uses."""
 
     number: int
     digest: str
@@ -36,7 +36,7 @@
 
 
 class ApplyResult(StrEnum):
-    """What became of a version that was handed in."""
+    """Result of applying a version."""
 
     APPLIED = "applied"
     SAME = "same"
@@ -49,16 +49,16 @@
 
 @dataclass(slots=True)
 class Conflict:
-    """Two documents under one number.
+    """Two documents under one version number.
 
     Attributes
     ----------
     number : int
-        The number.
+        The version number.
     ours, theirs : str
-        The two digests.
+        Digests of the two documents.
     source : str
-        Where the other document came from.
+        Sender of the other document.
     """
 
     number: int
@@ -68,28 +68,28 @@
 
 
 class ConfigurationHolder:
-    """Holds the version in force and lets only a higher one replace it.
+    """Holds the active version, which only a version with a higher number replaces.
 
     Parameters
     ----------
     derive : callable
-        Makes the view of a number and a document;
+        Derives the view of a version from its number and document, see
         `rosemaryknot.version.view.ConfigurationView.from_document`.
 
     Attributes
     ----------
     view : ConfigurationView or None
-        The version in force; None until the first is known. Take it once at the
-        start of a request.
+        The active version; None until the first is known. Read it once at the start
+        of a request.
     conflict : Conflict or None
-        Set when a second document came under the number in force. No change is
-        taken until an operator settles it.
+        Set when a second document was found under the active number. No change is
+        applied until an operator settles the conflict.
     settled : int
         Highest number up to which an operator has settled a conflict.
     lineage : list of [int, str]
-        Earlier numbers and the start of their digests, as they came with the view.
+        Earlier numbers and the prefixes of their digests, as received with the view.
     applied_at_s : float
-        When the view came into force, in trio time.
+        When the view became active, in trio time.
     """
 
     def __init__(self, derive: Callable[[int, dict], Any]) -> None:
@@ -103,17 +103,17 @@
 
     @property
     def number(self) -> int:
-        """Number of the version in force, or 0."""
+        """Number of the active version, or 0."""
         return 0 if self.view is None else self.view.number
 
     @property
     def offer(self) -> ConfigurationOffer:
-        """What other nodes are told of the version in force."""
+        """Number and digest of the active version, as sent to other nodes."""
         return ConfigurationOffer(self.number, self.view.digest if self.view else "")
 
     @property
     def push(self) -> ConfigurationPush:
-        """The version in force as a message; number 0 where there is none."""
+        """The active version as a message; number 0 if there is none."""
         if self.view is None:
             return ConfigurationPush(0, "", {})
         return ConfigurationPush(
@@ -133,95 +133,95 @@
         settles: int = 0,
         lineage: Sequence[Sequence] = (),
     ) -> ApplyResult:
-        """Put a version into force if it is higher, whole or not at all.
+        """Activate a version if its number is higher, completely or not at all.
 
         Parameters
         ----------
         number : int
-            Version.
+            Version number.
         digest : str
-            Digest that the source gave for the document.
+            Digest that the source sent for the document.
         document : dict
             Configuration document.
         source : str
-            Where it came from, for the log.
+            Origin of the version, for the log.
         settles : int
-            Number up to which an operator settled a conflict by this version.
+            Number up to which an operator has settled a conflict by this version.
         lineage : sequence of (int, str)
-            Earlier numbers with the start of their digests, where known.
+            Earlier numbers with the prefixes of their digests, if known.
 
         Returns
         -------
         result : ApplyResult
-            What became of it.
+            Whether it was applied, or why not.
         """
         push = ConfigurationPush(number, digest, document, settles, list(lineage))
         return self.apply_push(push, source)
 
     def apply_push(self, push: ConfigurationPush, source: str) -> ApplyResult:
-        """Put the version of a message into force; see `apply`."""
-        result = self.judge(push, source)
+        """Activate the version of a message; see `apply`."""
+        result = self.evaluate(push, source)
         if result is ApplyResult.APPLIED:
-            result = self.replace(push, source)
+            result = self.activate(push, source)
         RESULTS.add(result=str(result))
         if result in (ApplyResult.BAD_DIGEST, ApplyResult.UNUSABLE):
-            log.error(f"refused {push.number} from {source}: {result}")
+            log.error(f"rejected {push.number} from {source}: {result}")
         return result
 
-    def note_digest(self, number: int, digest: str, source: str) -> ApplyResult:
-        """Compare a number and digest held elsewhere with what is in force.
+    def compare_digest(self, number: int, digest: str, source: str) -> ApplyResult:
+        """Compare a number and digest held elsewhere with the active version.
 
         Parameters
         ----------
         number, digest
             The version held elsewhere.
         source : str
-            Who holds it.
+            Holder of that version.
 
         Returns
         -------
         result : ApplyResult
-            ``APPLIED`` where it is higher and worth fetching; nothing changes
-            but for a conflict that was found.
+            ``APPLIED`` if it is higher and worth fetching. Nothing changes, except that
+            a detected conflict is recorded.
         """
         if number < self.number:
             return ApplyResult.OLDER
         if self.view is not None and number == self.number:
             if digest == self.view.digest:
                 return ApplyResult.SAME
-            self.stop(Conflict(number, self.view.digest, digest, source))
+            self.record_conflict(Conflict(number, self.view.digest, digest, source))
             return ApplyResult.CONFLICT
         return ApplyResult.APPLIED
 
-    def judge(self, push: ConfigurationPush, source: str) -> ApplyResult:
-        """Decide on a version without putting it into force."""
+    def evaluate(self, push: ConfigurationPush, source: str) -> ApplyResult:
+        """Evaluate a version without activating it."""
         if push.number < 1 or push.number < self.number:
             return ApplyResult.OLDER
         if push.number == self.number and push.digest == self.view.digest:
             return ApplyResult.SAME
         if document_digest(push.document) != push.digest:
             return ApplyResult.BAD_DIGEST
-        result = self.note_digest(push.number, push.digest, source)
-        if result is not ApplyResult.APPLIED or self.settles_ours(push.settles):
+        result = self.compare_digest(push.number, push.digest, source)
+        if result is not ApplyResult.APPLIED or self.settles_current(push.settles):
             return result
         if self.conflict is not None:
             return ApplyResult.STOPPED
-        foreign = self.foreign_digest(push)
-        if foreign:
-            self.stop(Conflict(self.number, self.view.digest, foreign, source))
+        other = self.conflicting_digest(push)
+        if other:
+            self.record_conflict(Conflict(self.number, self.view.digest, other, source))
             return ApplyResult.CONFLICT
         return ApplyResult.APPLIED
 
-    def settles_ours(self, settles: int) -> bool:
-        """Tell whether an operator decided against the version in force."""
+    def settles_current(self, settles: int) -> bool:
+        """Return whether an operator decided against the active version."""
         return self.view is not None and settles >= self.number
 
-    def foreign_digest(self, push: ConfigurationPush) -> str:
-        """Return the digest that a push has under our number, if it is not ours.
+    def conflicting_digest(self, push: ConfigurationPush) -> str:
+        """Return the digest that a push has under the active number, if it differs.
 
-        A store that was restored from a backup and patched again overtakes our
-        number with versions that lack the changes lost. To take them only because
-        their number is higher would revert an accepted change without a word.
+        A store that was restored from a backup and patched again overtakes the active
+        number with versions that lack the lost changes. Applying them only because
+        their number is higher would silently revert an accepted change.
         """
         if self.view is None:
             return ""
@@ -230,8 +230,8 @@
                 return digest
         return ""
 
-    def replace(self, push: ConfigurationPush, source: str) -> ApplyResult:
-        """Derive the view of a higher version and put it into force."""
+    def activate(self, push: ConfigurationPush, source: str) -> ApplyResult:
+        """Derive the view of a higher version and make it the active one."""
         try:
             view = self.derive(push.number, push.document)
         except (ValueError, KeyError, TypeError, AttributeError):
@@ -241,43 +241,43 @@
         self.conflict = None
         self.settled = max(self.settled, push.settles)
         self.applied_at_s = trio.current_time()
-        IN_FORCE.set(view.number)
+        ACTIVE_NUMBER.set(view.number)
         IN_CONFLICT.set(0)
-        log.info(f"{view.number} in force, from {source}", number=view.number)
+        log.info(f"{view.number} active, from {source}", number=view.number)
         changed, self.changed = self.changed, trio.Event()
         changed.set()
         return ApplyResult.APPLIED
 
-    def stop(self, conflict: Conflict) -> None:
-        """Take no more changes until an operator settles the conflict.
+    def record_conflict(self, conflict: Conflict) -> None:
+        """Reject further changes until an operator settles the conflict.
 
-        Two documents under one number mean that the store lost an accepted change
-        and took another one. Each node that followed either of them would revert
-        the other, so all stay with what they have and say so.
+        Two documents under one number mean that the store lost an accepted change and
+        accepted another. A node that adopted either version would revert the other
+        change, so all nodes keep the version they have and report the conflict.
         """
         IN_CONFLICT.set(1)
         if self.conflict is not None:
             return
         self.conflict = conflict
         log.error(
-            f"conflict at {conflict.number}, no more changes taken:"
+            f"conflict at {conflict.number}, further changes are rejected:"
             f" {conflict.source} holds {conflict.theirs[:12]},"
-            f" we hold {conflict.ours[:12]}",
+            f" this node holds {conflict.ours[:12]}",
             number=conflict.number,
         )
 
     async def wait_changed(self, after_number: int) -> Any:
-        """Wait for a version higher than a number.
+        """Wait for a version with a higher number.
 
         Parameters
         ----------
         after_number : int
-            Number that the caller knows.
+            Number that the caller already has.
 
         Returns
         -------
         view : ConfigurationView
-            The version in force.
+            The active version.
         """
         while self.number <= after_number:
             await self.changed.wait()
--- a/src/rosemaryknot/process/drain.py
+++ b/src/rosemaryknot/process/drain.py
@@ -1,4 +1,4 @@
-"""Planned stop: end what is in flight whole, take nothing new."""
+"""Graceful shutdown: completes requests in flight and refuses new ones."""
 
 import trio
 
@@ -16,15 +16,15 @@
 
 
 class Drain:
-    """Counts what is in flight, and waits for its end at a planned stop.
+    """Counts requests in flight, and waits for them during a graceful shutdown.
 
     Attributes
     ----------
     is_stopping : bool
         Whether new requests are refused.
     in_flight : int
-        What must end before the process may: answers being written, generations,
-        requests that go on without their caller.
+        Number of activities that must end before the process may: responses being
+        written, generations, and requests that continue without their caller.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
             self.changed.unpark_all()
 
     def refusal(self) -> NotRun | None:
-        """Return why a new request is refused, or None while it is not."""
+        """Return why a new request is refused, or None if it is not."""
         if not self.is_stopping:
             return None
         return NotRun(Reason.STOPPING, STOPPING_RETRY_S, "this instance is stopping")
@@ -54,26 +54,28 @@
         """Refuse new requests from now on."""
         self.is_stopping = True
         stopping_gauge.set(1)
-        log.info("not ready: planned stop", in_flight=self.in_flight)
+        log.info("not ready: graceful shutdown", in_flight=self.in_flight)
 
     async def wait_idle(self, timeout_s: float) -> bool:
-        """Wait until nothing is in flight.
+        """Wait until no request is in flight.
 
         Parameters
         ----------
         timeout_s : float
-            Bound on the wait, in seconds.
+            Maximum time to wait, in seconds.
 
         Returns
         -------
         is_idle : bool
-            False where the bound was reached.
+            False if the timeout was reached.
         """
         with trio.move_on_after(timeout_s):
             while self.in_flight:
                 await self.changed.park()
         if self.in_flight:
-            log.error("bound reached with requests in flight", in_flight=self.in_flight)
+            log.error(
+                "shutdown timed out with requests in flight", in_flight=self.in_flight
+            )
             return False
-        log.info("nothing is in flight")
+        log.info("no requests in flight")
         return True
--- a/src/rosemaryknot/process/duty_components.py
+++ b/src/rosemaryknot/process/duty_components.py
@@ -9,7 +9,7 @@
 from rosemaryknot.process.gateway_state import GatewayState
 from rosemaryknot.process.leases import Lease
 from rosemaryknot.process.metrics import counter
-from rosemaryknot.process.true_time import TrueTime
+from rosemaryknot.process.synchronized_clock import SynchronizedClock
 from rosemaryknot.process.usage_tracker import UsageTracker
 from rosemaryknot.values.duties import DutyCalls
 
@@ -36,7 +36,7 @@
         Configuration and servers.
     usage : UsageTracker
         Requests of each customer by usage window.
-    clock : TrueTime
+    clock : SynchronizedClock
         Synchronized clock.
     exchange : GatewayExchange
         Reports of the other gateways, including their demand.
@@ -46,5 +46,5 @@
     calls: DutyCalls
     state: GatewayState
     usage: UsageTracker
-    clock: TrueTime
+    clock: SynchronizedClock
     exchange: GatewayExchange
--- a/src/rosemaryknot/process/entry.py
+++ b/src/rosemaryknot/process/entry.py
@@ -12,7 +12,9 @@
 from rosemaryknot.connection.plain_client import PlainClient
 from rosemaryknot.process.agent_link import AgentLink
 from rosemaryknot.process.configuration import ConfigurationHolder
-from rosemaryknot.process.configuration_spread import register_configuration_handlers
+from rosemaryknot.process.configuration_distributor import (
+    register_configuration_handlers,
+)
 from rosemaryknot.process.control_handlers import register_control_handlers
 from rosemaryknot.process.detached import Detached
 from rosemaryknot.process.drain import Drain
@@ -22,7 +24,7 @@
 from rosemaryknot.process.servers import ServerTable
 from rosemaryknot.process.settings import Settings
 from rosemaryknot.request.admission import Admission, AdmissionLimits
-from rosemaryknot.request.adoption import Adopter
+from rosemaryknot.request.adoption import GenerationAdopter
 from rosemaryknot.request.at_most_once import AtMostOnce, ClaimPolicy
 from rosemaryknot.request.budget import EntryBudgets
 from rosemaryknot.request.generation_table import GenerationTable
@@ -88,7 +90,7 @@
         What they may use of the engines, and whose turn it is.
     standby : StandbyCopies
         Copies of accepted model requests.
-    adopter : Adopter
+    adopter : GenerationAdopter
         Goes on with requests of other entries.
     drain : Drain
         What is in flight.
@@ -148,7 +150,7 @@
             str(settings.listen.callers),
             safeguards is None or safeguards.standby_copy,
         )
-        self.adopter = Adopter(
+        self.adopter = GenerationAdopter(
             self.relay, self.standby, self.drain, nursery, self.handlers
         )
         self.share = ModelShare(self.budgets, self.relay.router, self.drain)
--- a/src/rosemaryknot/process/exchange_components.py
+++ b/src/rosemaryknot/process/exchange_components.py
@@ -9,8 +9,8 @@
 from rosemaryknot.process.gateway_quota import QuotaTracker
 from rosemaryknot.process.gateway_state import GatewayState
 from rosemaryknot.process.peers import PeerSet
-from rosemaryknot.process.store_follower import StoreFollower
-from rosemaryknot.process.true_time import TrueTime
+from rosemaryknot.process.store_watcher import StoreWatcher
+from rosemaryknot.process.synchronized_clock import SynchronizedClock
 from rosemaryknot.process.usage_tracker import UsageTracker
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.values.store_changes import ChangeSource
@@ -67,9 +67,9 @@
         Usage of customers' limits.
     usage : UsageTracker
         Requests of each customer by usage window.
-    clock : TrueTime
+    clock : SynchronizedClock
         Synchronized clock.
-    followers : dict of str to StoreFollower
+    watchers : dict of str to StoreWatcher
         Watchers of the store by kind of object: ``configuration`` and ``servers``.
     demand : Demand
         Demand of this node's callers.
@@ -84,8 +84,8 @@
     state: GatewayState
     quota: QuotaTracker
     usage: UsageTracker
-    clock: TrueTime
-    followers: dict[str, StoreFollower]
+    clock: SynchronizedClock
+    watchers: dict[str, StoreWatcher]
     demand: Demand
     configurations: GatewayConfigurations
     store: ChangeSource
--- a/src/rosemaryknot/process/gateway_configurations.py
+++ b/src/rosemaryknot/process/gateway_configurations.py
@@ -21,7 +21,7 @@
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import counter
 from rosemaryknot.process.peers import PeerSet
-from rosemaryknot.process.store_follower import StoreFollower
+from rosemaryknot.process.store_watcher import StoreWatcher
 from rosemaryknot.values.gateway_peers import ConfigurationTold, ConfigurationWanted
 
 __all__ = ["GatewayConfigurations"]
@@ -55,7 +55,7 @@
         The other gateways.
     state : GatewayState
         Holds the current version.
-    follower : StoreFollower
+    watcher : StoreWatcher
         Watcher of the configuration in the store.
     handlers : Handlers
         Message handlers of the node's links.
@@ -75,12 +75,12 @@
         self,
         peers: PeerSet,
         state: GatewayState,
-        follower: StoreFollower,
+        watcher: StoreWatcher,
         handlers: Handlers,
     ) -> None:
         self.peers = peers
         self.state = state
-        self.follower = follower
+        self.watcher = watcher
         self.last_shared: Document | None = None
         self.behind_since_s: float | None = None
         self.unusable = -1
@@ -178,7 +178,7 @@
             return NOT_USABLE
         self.last_shared = self.state.document
         self.behind_since_s = None
-        self.follower.pass_to(message.revision)
+        self.watcher.advance_to(message.revision)
         return APPLIED
 
     async def handle_configuration(
--- a/src/rosemaryknot/process/gateway_exchange.py
+++ b/src/rosemaryknot/process/gateway_exchange.py
@@ -6,7 +6,7 @@
 import trio
 
 from rosemaryknot.connection.links import Handlers, MessageLink
-from rosemaryknot.process.configuration_spread import chosen_nodes
+from rosemaryknot.process.configuration_distributor import select_nodes
 from rosemaryknot.process.exchange_components import ExchangeComponents
 from rosemaryknot.process.hub_exchange import HubExchange
 from rosemaryknot.process.logs import logger
@@ -115,15 +115,17 @@
             node=components.node.name,
             incarnation=components.node.incarnation,
             sequence=self.sequence,
-            clock_s=components.clock.wall(),
+            clock_s=components.clock.wall_clock(),
             version=components.state.version,
-            revisions={kind: f.revision for kind, f in components.followers.items()},
-            seen={kind: f.seen for kind, f in components.followers.items()},
+            revisions={kind: f.revision for kind, f in components.watchers.items()},
+            seen={kind: f.seen for kind, f in components.watchers.items()},
             returned_ago_s=trio.current_time() - components.store.returned_s,
             spent=components.quota.report(),
             runs=components.usage.report(components.clock.now()),
             demand=self.report_demand(),
-            lost=[kind for kind, f in components.followers.items() if f.is_lost()],
+            lost=[
+                kind for kind, f in components.watchers.items() if f.is_unreachable()
+            ],
             counted_s=components.clock.now(),
         )
 
@@ -257,22 +259,22 @@
     def compare(self, report: GatewayReport, now_s: float) -> None:
         """Resynchronize with the store if another gateway stays ahead of this one."""
         self.record_reconnect(now_s - report.returned_ago_s, report.node)
-        for kind, follower in self.components.followers.items():
-            if follower.revision >= report.seen.get(kind, -1):
+        for kind, watcher in self.components.watchers.items():
+            if watcher.revision >= report.seen.get(kind, -1):
                 self.behind_since_s.pop(kind, None)
                 continue
             since_s = self.behind_since_s.setdefault(kind, now_s)
             if now_s - since_s > MAX_LAG_S[kind]:
-                follower.look_again(f"{report.node} has a newer revision")
+                watcher.resync(f"{report.node} has a newer revision")
 
     def record_reconnect(self, returned_s: float, node: str) -> None:
         """Resynchronize with the store if a node reached it after our pending query.
 
         An outage may have dropped this node's query without an error.
         """
-        for follower in self.components.followers.values():
-            if follower.waits_since_before(returned_s):
-                follower.look_again(f"{node} reached the store again")
+        for watcher in self.components.watchers.values():
+            if watcher.has_call_since_before(returned_s):
+                watcher.resync(f"{node} reached the store again")
 
     async def help(self, report: GatewayReport, now_s: float) -> None:
         """Send newer state to a gateway that cannot reach the store."""
@@ -302,7 +304,7 @@
         """Return whether this gateway is one of those that help another one."""
         components = self.components
         nodes = [other for other in components.peers.nodes() if other.name != node]
-        return components.node in chosen_nodes(
+        return components.node in select_nodes(
             [*nodes, components.node], node, HELPER_COUNT
         )
 
@@ -313,18 +315,18 @@
         configuration = self.components.configurations.newer_than(report.version)
         if configuration is not None:
             found.append(configuration)
-        follower = self.components.followers["servers"]
+        watcher = self.components.watchers["servers"]
         theirs = report.revisions.get("servers", -1)
-        if theirs < follower.revision and not follower.is_lost():
+        if theirs < watcher.revision and not watcher.is_unreachable():
             objects = {name: list(entry) for name, entry in state.entries.items()}
-            found.append(StateOffer("servers", follower.revision, objects))
+            found.append(StateOffer("servers", watcher.revision, objects))
         return found
 
     async def handle_offer(self, offer: StateOffer, link: MessageLink) -> None:
         """Apply a newer list of servers while the store is unreachable."""
-        follower = self.components.followers["servers"]
-        is_newer = offer.revision > follower.revision
-        if offer.kind_name != "servers" or not follower.is_lost() or not is_newer:
+        watcher = self.components.watchers["servers"]
+        is_newer = offer.revision > watcher.revision
+        if offer.kind_name != "servers" or not watcher.is_unreachable() or not is_newer:
             return
         objects: dict[str, Any] = {
             name: StoredObject(int(entry[0]), entry[1])
@@ -332,5 +334,5 @@
         }
         log.info("applied servers from another gateway", revision=offer.revision)
         self.components.state.list_servers(Listed(offer.revision, objects))
-        follower.revision = offer.revision
-        follower.seen = max(follower.seen, offer.revision)
+        watcher.revision = offer.revision
+        watcher.seen = max(watcher.seen, offer.revision)
--- a/src/rosemaryknot/process/hub_exchange.py
+++ b/src/rosemaryknot/process/hub_exchange.py
@@ -193,10 +193,12 @@
             incarnation=components.node.incarnation,
             sequence=self.sequence,
             version=components.state.version,
-            revisions={kind: f.revision for kind, f in components.followers.items()},
-            seen={kind: f.seen for kind, f in components.followers.items()},
+            revisions={kind: f.revision for kind, f in components.watchers.items()},
+            seen={kind: f.seen for kind, f in components.watchers.items()},
             returned_ago_s=now_s - components.store.returned_s,
-            lost=[kind for kind, f in components.followers.items() if f.is_lost()],
+            lost=[
+                kind for kind, f in components.watchers.items() if f.is_unreachable()
+            ],
             watches=self.is_hub(),
             holds=self.holds_lease(),
             spent=components.quota.report(),
