--- a/src/rosemaryknot/process/leases.py
+++ b/src/rosemaryknot/process/leases.py
@@ -1,8 +1,10 @@
-"""Leases by the object API: one holder for a time, and a number that only rises.
+"""Leases kept in the object store, with fencing numbers that only increase.
 
-A lease is an object that its holder writes again before its time is over. Nobody's
-wall clock counts: the holder counts from before it sent the write, a candidate from
-after it first read it, so the holder's time ends first.
+A lease is an object that its holder rewrites before it expires. No wall clock is
+involved: the holder measures the duration from before it sent the write, a candidate
+from after it first read it, so the lease always expires at the holder first.
+
+A duty is a task that only the holder of a lease performs.
 """
 
 import random
@@ -12,7 +14,7 @@
 
 import trio
 
-from rosemaryknot.process.configuration_spread import chosen_nodes
+from rosemaryknot.process.configuration_distributor import select_nodes
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import counter
 from rosemaryknot.process.safeguards import Safeguards
@@ -31,11 +33,11 @@
 KIND = "leases"
 DURATION_S = 10.0
 MARGIN_S = 1.5
-RENEW_S = 3.0
-POLL_S = 3.0
-RETRY_S = 0.5
-CANDIDATES = 3
-RELEASE_TRIES = 2
+RENEW_INTERVAL_S = 3.0
+POLL_INTERVAL_S = 3.0
+RETRY_INTERVAL_S = 0.5
+MAX_CANDIDATES = 3
+RELEASE_ATTEMPTS = 2
 UNKNOWN_HOLDER = "?"
 
 CHANGES = counter("lease_changes_total", "Leases taken over, given back and lapsed.")
@@ -44,12 +46,12 @@
 
 
 def lease_candidates(
-    nodes: Sequence[Node], duty: str, count: int = CANDIDATES
+    nodes: Sequence[Node], duty: str, count: int = MAX_CANDIDATES
 ) -> list[Node]:
-    """Choose the nodes that may hold a lease; those of different zones come first.
+    """Choose the nodes that may hold a lease, preferring different zones.
 
-    A whole zone can go at once; candidates in one zone would go together, and
-    nobody would be left who looks at the lease.
+    A whole zone can fail at once. If all candidates were in that zone, no node would
+    be left to poll the lease.
 
     Examples
     --------
@@ -57,10 +59,10 @@
     >>> {node.zone for node in lease_candidates(nodes, "placement-x", 2)} == {"a", "b"}
     True
     """
-    ranked = chosen_nodes(nodes, duty, len(nodes))
-    firsts = list({node.zone: node for node in reversed(ranked)}.values())
-    firsts.sort(key=ranked.index)
-    return (firsts + [node for node in ranked if node not in firsts])[:count]
+    by_priority = select_nodes(nodes, duty, len(nodes))
+    firsts = list({node.zone: node for node in reversed(by_priority)}.values())
+    firsts.sort(key=by_priority.index)
+    return (firsts + [node for node in by_priority if node not in firsts])[:count]
 
 
 class Lease:
@@ -73,46 +75,49 @@
     name : str
         Name of the object.
     holder : str
-        This process; another one for each incarnation.
+        Identity of this process, different for each incarnation.
     is_candidate : callable
-        Tells whether this process should hold the lease where nobody does.
+        Returns whether this process should acquire the lease when nobody holds it.
     rng : random.Random
         For jitter.
     safeguards : Safeguards, optional
         Tests may turn ``lease_margin`` off.
     duration_s : float
-        Time of a lease, in seconds.
+        Duration of the lease, in seconds.
     margin_s : float
-        What the holder takes off, for clocks of unequal rates, in seconds.
+        Subtracted from the duration by the holder, to allow for clocks that run at
+        different rates, in seconds.
     suspended_s : callable
-        Returns how long the machine was suspended since some moment, in seconds; the
-        steady clock does not count that time, and the lease would seem to last.
-    fresh_notes : callable
-        Of the notes that stand in the store, those of another holder included;
-        returns what goes out with each write, so that keeping it costs no call.
-    is_heard : callable
-        Of a holder; tells whether its node was heard just now. One that was not may
-        be gone: the sooner its last write is seen, the sooner its time is over.
-    least_s : float
-        Least time between two holds of this process with another holder's between
-        them, in seconds.
+        Returns how long the machine has been suspended since a fixed moment, in
+        seconds. The monotonic clock does not count that time, so without it the lease
+        would seem to last longer than it does.
+    current_notes : callable
+        Takes the notes in the store, including those of another holder, and returns
+        the notes to send with each write, so that storing them costs no extra call.
+    is_reporting : callable
+        Takes a holder and returns whether its node has reported recently. A silent
+        holder may have failed; polling sooner then sees its last write earlier, and
+        the lease can be acquired earlier.
+    reacquire_delay_s : float
+        Minimum time between two leases of this process if another process held the
+        lease in between, in seconds.
     is_first_start : bool
-        Whether the whole system starts for the first time: a missing record means
-        then that nobody has held the lease.
+        Whether the whole system starts for the first time: a missing record then
+        means that nobody has held the lease.
 
     Attributes
     ----------
     record : LeaseRecord or None
-        As last read or written; None where there is none.
+        As last read or written; None if there is none.
     fencing : int
-        Number of this process's lease, or of its last one.
+        Fencing number of this process's current or last lease.
     acquired_s : float
-        When this process took the lease, in trio time.
-    is_clean : bool
-        Whether no other holder can still be at work: the last one gave the lease
-        back, or was this process.
-    highest : int
-        Highest fencing number known from anywhere.
+        When this process acquired the lease, in trio time.
+    is_clean_handover : bool
+        Whether no other holder can still be active: the last one released the lease,
+        or was this process.
+    highest_fencing : int
+        Highest fencing number seen in any record or at any backend server.
     """
 
     def __init__(
@@ -126,10 +131,10 @@
         duration_s: float = DURATION_S,
         margin_s: float = MARGIN_S,
         suspended_s: Callable[[], float] = lambda: 0.0,
-        fresh_notes: Callable[[dict[str, Any]], dict[str, Any]] = dict,
-        is_heard: Callable[[str], bool] = lambda holder: True,
+        current_notes: Callable[[dict[str, Any]], dict[str, Any]] = dict,
+        is_reporting: Callable[[str], bool] = lambda holder: True,
         is_first_start: bool = False,
-        least_s: float = 0.0,
+        reacquire_delay_s: float = 0.0,
     ) -> None:
         self.store = store
         self.name = name
@@ -140,51 +145,51 @@
         self.duration_s = duration_s
         self.margin_s = margin_s
         self.suspended_s = suspended_s
-        self.fresh_notes = fresh_notes
-        self.is_heard = is_heard
+        self.current_notes = current_notes
+        self.is_reporting = is_reporting
         self.is_first_start = is_first_start
-        self.least_s = least_s
+        self.reacquire_delay_s = reacquire_delay_s
         self.record: LeaseRecord | None = None
         self.version = -1
-        self.seen_s = float("-inf")
+        self.version_read_s = float("-inf")
         self.fencing = 0
-        self.highest = 0
-        self.until_s = float("-inf")
-        self.last_until_s = float("-inf")
+        self.highest_fencing = 0
+        self.expiry_s = float("-inf")
+        self.last_expiry_s = float("-inf")
         self.acquired_s = float("-inf")
-        self.is_clean = False
-        self.is_ending = False
-        self.writes = 0
+        self.is_clean_handover = False
+        self.is_releasing = False
+        self.write_count = 0
         self.sent_s: dict[str, float] = {}
-        self.gone: set[str] = set()
+        self.ended_instances: set[str] = set()
         self.lock = trio.Lock()
 
-    # What others ask of it.
+    # Interface for other components.
 
-    def left_s(self) -> float:
-        """Return how long this process still holds the lease, in seconds."""
-        return self.until_s - self.time_s()
+    def remaining_s(self) -> float:
+        """Return the time left until the lease of this process expires, in seconds."""
+        return self.expiry_s - self.time_s()
 
     def time_s(self) -> float:
-        """Return trio time with the time in suspension, in seconds."""
+        """Return trio time plus the time spent in suspension, in seconds."""
         return trio.current_time() + self.suspended_s()
 
     def is_held(self) -> bool:
-        """Tell whether this process holds the lease now; ask before each order."""
-        return self.left_s() > 0
+        """Return whether this process holds the lease now; check before each order."""
+        return self.remaining_s() > 0
 
     @property
     def leaving(self) -> tuple[str, ...]:
-        """Instances that a holder has decided to release."""
+        """Instances that are draining because a holder decided to release them."""
         return () if self.record is None else self.record.leaving
 
-    async def note_leaving(self, names: Sequence[str]) -> bool:
-        """Write down, for good, that instances are to be released.
+    async def record_draining(self, names: Sequence[str]) -> bool:
+        """Record durably that instances are to be released.
 
         Returns
         -------
         is_written : bool
-            Whether it certainly stands in the store, written by the holder.
+            Whether the store is confirmed to hold the record, written by the holder.
         """
         async with self.lock:
             if not self.is_held():
@@ -195,16 +200,16 @@
 
     @property
     def notes(self) -> dict[str, Any]:
-        """What the holders of the duty have left, by name."""
+        """Notes that holders of the lease have stored for their successors, by name."""
         return {} if self.record is None else self.record.notes
 
     async def note(self, name: str, value: Any) -> bool:
-        """Leave something to the next holder, before this one acts on it.
+        """Store a note for the next holder, before this one acts on it.
 
         Returns
         -------
         is_written : bool
-            Whether it certainly stands in the store, written by the holder.
+            Whether the store is confirmed to hold the note, written by the holder.
         """
         async with self.lock:
             if not self.is_held():
@@ -212,164 +217,169 @@
             record = replace(self.record, notes=self.notes | {name: value})
             return await self.write(record)
 
-    def forget_leaving(self, name: str) -> None:
-        """Leave an instance that the platform has ended out of the next write."""
-        self.gone.add(name)
+    def forget_draining(self, name: str) -> None:
+        """Omit an instance that the platform has terminated from the next write."""
+        self.ended_instances.add(name)
 
-    def note_fencing(self, fencing: int) -> None:
-        """Take note of a number that a backend server has seen.
+    def record_fencing(self, fencing: int) -> None:
+        """Record a fencing number that a backend server has seen.
 
-        A higher one than ours is from a later holder, or from before the store was
-        restored from a backup. In both cases this process must not go on with its
-        own number.
+        A number higher than this process's own comes from a later holder, or from
+        before the store was restored from a backup. In both cases this process must not
+        continue under its own number.
         """
-        self.highest = max(self.highest, fencing)
+        self.highest_fencing = max(self.highest_fencing, fencing)
         if fencing > self.fencing and self.is_held():
-            self.until_s = float("-inf")
-            # No write under the old number may count any more.
+            self.expiry_s = float("-inf")
+            # Writes under the old number must no longer extend the lease.
             self.sent_s.clear()
-            log.warning(f"{self.name} given up: number {fencing} was seen")
+            log.warning(f"{self.name} abandoned: a server has seen number {fencing}")
 
-    # Its task.
+    # Background task.
 
     async def run(self) -> None:
-        """Hold the lease, or look whether it is free, until cancelled."""
-        while not self.is_ending:
+        """Hold the lease, or poll until it is free, until cancelled."""
+        while not self.is_releasing:
             if self.is_held() or self.is_candidate():
                 await self.step()
-            await trio.sleep(self.pause_s())
+            await trio.sleep(self.step_interval_s())
 
-    def pause_s(self) -> float:
+    def step_interval_s(self) -> float:
         """Return how long to wait before the next step, in seconds."""
         if self.is_held():
-            pause_s = min(RENEW_S, self.left_s() / 3) * self.rng.uniform(0.8, 1.0)
-            return max(pause_s, RETRY_S)
-        pause_s = POLL_S * self.rng.uniform(0.8, 1.2)
-        if self.record is None or not self.is_heard(self.record.holder):
-            pause_s = RETRY_S
-        free_s = self.seen_s + self.lasts_s() - trio.current_time()
-        return max(min(pause_s, free_s), RETRY_S) if free_s > 0 else pause_s
+            interval_s = min(
+                RENEW_INTERVAL_S, self.remaining_s() / 3
+            ) * self.rng.uniform(0.8, 1.0)
+            return max(interval_s, RETRY_INTERVAL_S)
+        interval_s = POLL_INTERVAL_S * self.rng.uniform(0.8, 1.2)
+        if self.record is None or not self.is_reporting(self.record.holder):
+            interval_s = RETRY_INTERVAL_S
+        free_s = self.version_read_s + self.record_duration_s() - trio.current_time()
+        return (
+            max(min(interval_s, free_s), RETRY_INTERVAL_S) if free_s > 0 else interval_s
+        )
 
     async def step(self) -> None:
-        """Renew the lease while it is held, take it when it is free, or look."""
+        """Renew the lease if held; otherwise poll, and acquire it when it is free."""
         async with self.lock:
             was_held = self.is_held()
             if was_held:
                 await self.write(self.record)
             else:
-                await self.look()
-                if not self.is_held() and self.is_free() and self.may_return():
-                    await self.take()
+                await self.poll()
+                if not self.is_held() and self.is_free() and self.may_reacquire():
+                    await self.acquire()
             if was_held and not self.is_held():
                 CHANGES.add(change="lapsed")
-                log.warning(f"{self.name} lapsed", fencing=self.fencing)
+                log.warning(f"{self.name} expired", fencing=self.fencing)
 
     async def release(self) -> None:
-        """Give the lease back, so that the next holder need not wait."""
-        self.is_ending = True
+        """Release the lease, so that the next holder need not wait for its expiry."""
+        self.is_releasing = True
         async with self.lock:
-            for _ in range(RELEASE_TRIES):
-                if self.is_held() and await self.give_back():
+            for _ in range(RELEASE_ATTEMPTS):
+                if self.is_held() and await self.write_release():
                     CHANGES.add(change="released")
-                    log.info(f"{self.name} given back", fencing=self.fencing)
+                    log.info(f"{self.name} released", fencing=self.fencing)
 
-    async def give_back(self) -> bool:
-        """Write that nobody holds the lease; tell whether it certainly stands."""
+    async def write_release(self) -> bool:
+        """Write a record without a holder; return whether the store holds it."""
         record = replace(self.record, holder="")
-        self.until_s = float("-inf")
+        self.expiry_s = float("-inf")
         return await self.write(record)
 
-    # Steps.
+    # Internal steps.
 
-    def lasts_s(self) -> float:
-        """Return how long the record in the store lasts, in seconds."""
+    def record_duration_s(self) -> float:
+        """Return the lease duration that the stored record gives, in seconds."""
         return self.duration_s if self.record is None else self.record.duration_s
 
     def is_free(self) -> bool:
-        """Tell whether no other process can hold the lease."""
+        """Return whether no other process can hold the lease."""
         if self.record is not None and self.record.holder in ("", self.holder):
             return True
         if self.record is None and self.version == 0 and self.is_first_start:
             return True
-        # A store restored from a backup may have lost the record of a holder that
-        # is at work, so a missing record is waited out like a written one.
-        return trio.current_time() - self.seen_s >= self.lasts_s()
+        # A store restored from a backup may have lost the record of a holder that is
+        # still active, so a missing record is waited out like an existing one.
+        return trio.current_time() - self.version_read_s >= self.record_duration_s()
 
-    def may_return(self) -> bool:
-        """Tell whether another holder's time lies far enough behind.
+    def may_reacquire(self) -> bool:
+        """Return whether this process may acquire the lease after another holder.
 
-        Duties that go to another node and back look, to those who get late calls of
-        both, like two holders at once. How long a lapse and a stop take does not keep
-        them apart: the other holder may give the lease back at any moment.
+        If duties move to another node and back quickly, recipients that get late calls
+        from both nodes see what looks like two holders at once. The time that expiry
+        and shutdown take does not prevent this, because the other holder may release
+        the lease at any moment.
         """
         if self.record is None or self.record.fencing == self.fencing:
             return True
-        return self.time_s() - self.last_until_s >= self.least_s
+        return self.time_s() - self.last_expiry_s >= self.reacquire_delay_s
 
-    async def look(self) -> None:
-        """Read the record."""
+    async def poll(self) -> None:
+        """Read the record from the store."""
         found = await self.store.read(KIND, self.name)
         if isinstance(found, StoredObject):
             record = LeaseRecord.from_value(found.value)
             if record is None:
-                self.note_unreadable(found.version)
+                self.handle_unreadable(found.version)
             else:
-                self.take_note(found.version, record)
+                self.apply_record(found.version, record)
         elif isinstance(found, Missing):
-            self.take_note(0, None)
+            self.apply_record(0, None)
 
-    def take_note(self, version: int, record: LeaseRecord | None) -> None:
-        """Take over what the store holds."""
+    def apply_record(self, version: int, record: LeaseRecord | None) -> None:
+        """Adopt the record that the store holds."""
         if version != self.version:
             self.version = version
-            self.seen_s = trio.current_time()
+            self.version_read_s = trio.current_time()
         self.record = record
         if record is None or record.holder != self.holder:
-            self.until_s = float("-inf")
+            self.expiry_s = float("-inf")
         if record is not None:
-            self.highest = max(self.highest, record.fencing)
-            self.credit(record)
+            self.highest_fencing = max(self.highest_fencing, record.fencing)
+            self.extend_expiry(record)
 
-    def note_unreadable(self, version: int) -> None:
-        """Take note that another writer has overwritten the record.
+    def handle_unreadable(self, version: int) -> None:
+        """Handle a record that another writer has overwritten with unreadable data.
 
-        Its holder goes on and writes it anew: nobody else takes the lease before the
-        time of the holder's last write is over. For the others the holder is unknown,
-        and they wait as for one that has just written. What holders have left is kept,
-        or usage would be told a second time.
+        The holder continues and rewrites the record: nobody else acquires the lease
+        before the duration of the holder's last write has passed. For other processes
+        the holder is unknown, and they wait as if it had just written. Notes of earlier
+        holders are kept, because otherwise usage would be reported a second time.
         """
         if version == self.version:
             return
-        log.warning(f"record of {self.name} cannot be read", version=version)
+        log.warning(f"record of {self.name} is unreadable", version=version)
         self.version = version
-        self.seen_s = trio.current_time()
+        self.version_read_s = trio.current_time()
         if self.record is not None and not self.is_held():
             self.record = replace(self.record, holder=UNKNOWN_HOLDER)
 
-    def credit(self, record: LeaseRecord) -> None:
-        """Count the time of a write of ours that took effect.
+    def extend_expiry(self, record: LeaseRecord) -> None:
+        """Extend the lease by a write of this process that took effect.
 
-        A write whose answer came late, or never, took effect some time after it was
-        sent. Counting from the answer would let this process believe in a lease
-        that another has taken over since; from before the send it ends in time,
-        however slow the store is.
+        A write whose response was late or lost took effect some time after it was sent.
+        Measured from the response, the lease could seem held after another process has
+        acquired it. Measured from before the send, it expires in time, however slow the
+        store is.
         """
         sent_s = self.sent_s.get(record.write_id)
         if sent_s is None or record.holder != self.holder:
             return
-        until_s = sent_s + record.duration_s - self.margin_s
+        expiry_s = sent_s + record.duration_s - self.margin_s
         if not self.safeguards.lease_margin:
-            until_s = self.time_s() + record.duration_s
+            expiry_s = self.time_s() + record.duration_s
         self.fencing = record.fencing
-        self.until_s = max(self.until_s, until_s)
-        self.last_until_s = self.until_s
+        self.expiry_s = max(self.expiry_s, expiry_s)
+        self.last_expiry_s = self.expiry_s
 
-    async def take(self) -> None:
-        """Take the lease over under the next fencing number."""
+    async def acquire(self) -> None:
+        """Acquire the lease under the next fencing number."""
         last = self.record
         record = LeaseRecord(
             self.holder,
-            self.highest + 1,
+            self.highest_fencing + 1,
             "",
             self.duration_s,
             () if last is None else last.leaving,
@@ -377,39 +387,48 @@
         )
         if await self.write(record):
             self.acquired_s = trio.current_time()
-            self.is_clean = last is not None and last.holder in ("", self.holder)
+            self.is_clean_handover = last is not None and last.holder in (
+                "",
+                self.holder,
+            )
             CHANGES.add(change="taken")
-            log.info(f"{self.name} taken", fencing=self.fencing, released=self.is_clean)
+            log.info(
+                f"{self.name} acquired",
+                fencing=self.fencing,
+                released=self.is_clean_handover,
+            )
 
     async def write(self, record: LeaseRecord) -> bool:
-        """Write a record where the store still holds the one we know.
+        """Write a record if the store still holds the version last read.
 
-        The write is conditional, so of two processes that both find the lease free
-        one gets it, and a write that lands late changes nothing that was written
-        meanwhile. Where its answer is lost, the record is read back and known by
+        The write is conditional, so if two processes both find the lease free, only one
+        acquires it, and a write that arrives late does not overwrite anything written
+        meanwhile. If the response is lost, the record is read back and identified by
         its write id.
 
         Returns
         -------
         is_written : bool
-            Whether the store certainly holds it.
+            Whether the store is confirmed to hold the record.
         """
-        self.writes += 1
-        write_id = f"{self.holder}#{self.writes}"
-        leaving = tuple(name for name in record.leaving if name not in self.gone)
-        notes = record.notes | self.fresh_notes(record.notes)
+        self.write_count += 1
+        write_id = f"{self.holder}#{self.write_count}"
+        leaving = tuple(
+            name for name in record.leaving if name not in self.ended_instances
+        )
+        notes = record.notes | self.current_notes(record.notes)
         record = replace(record, write_id=write_id, leaving=leaving, notes=notes)
-        self.remember_send(write_id)
+        self.record_send(write_id)
         outcome = await self.send(record)
         if isinstance(outcome, Written):
-            self.take_note(outcome.version, record)
+            self.apply_record(outcome.version, record)
             return True
         if isinstance(outcome, Conflict) or outcome.maybe_done:
-            await self.look()
+            await self.poll()
         return self.record is not None and self.record.write_id == write_id
 
-    def remember_send(self, write_id: str) -> None:
-        """Remember when a write was sent, for as long as it can matter."""
+    def record_send(self, write_id: str) -> None:
+        """Record when a write was sent, for as long as it can extend the lease."""
         now_s = self.time_s()
         recent = now_s - self.duration_s
         self.sent_s = {k: v for k, v in self.sent_s.items() if v > recent}
--- a/src/rosemaryknot/process/limits/shares.py
+++ b/src/rosemaryknot/process/limits/shares.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from rosemaryknot.process.configuration_spread import chosen_nodes
+from rosemaryknot.process.configuration_distributor import select_nodes
 from rosemaryknot.values.nodes import Node
 
 __all__ = ["LimitKey", "ZoneMembers", "MembershipHistory", "owner_of", "slot_share"]
@@ -63,7 +63,7 @@
 
 def owner_of(key: LimitKey, nodes: Sequence[Node]) -> Node | None:
     """Return the owner of a limit, selected by rendezvous hashing."""
-    chosen = chosen_nodes(nodes, key.duty, 1)
+    chosen = select_nodes(nodes, key.duty, 1)
     return chosen[0] if chosen else None
 
 
--- a/src/rosemaryknot/process/node.py
+++ b/src/rosemaryknot/process/node.py
@@ -1,4 +1,4 @@
-"""A gateway node: all its parts as tasks of one process."""
+"""A gateway node: all of its components, run as tasks of one process."""
 
 import random
 from collections.abc import Callable
@@ -15,25 +15,25 @@
 from rosemaryknot.connection.owed_answers import OWED
 from rosemaryknot.connection.pages import Page, PageServer
 from rosemaryknot.process.attempt_budget import AttemptBudget
-from rosemaryknot.process.change_spread import ChangeSpread
+from rosemaryknot.process.change_distributor import ChangeDistributor
 from rosemaryknot.process.duty_components import DutyComponents
 from rosemaryknot.process.exchange_components import Demand, ExchangeComponents
 from rosemaryknot.process.gateway_configurations import GatewayConfigurations
 from rosemaryknot.process.gateway_exchange import GatewayExchange
 from rosemaryknot.process.gateway_quota import QuotaTracker
 from rosemaryknot.process.gateway_state import GatewayState
+from rosemaryknot.process.graceful_shutdown import GracefulShutdown
 from rosemaryknot.process.leases import Lease, lease_candidates
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import render_metrics
 from rosemaryknot.process.node_settings import Bounds, NodeSettings
 from rosemaryknot.process.peer_metrics import PeerMetrics
 from rosemaryknot.process.peers import PeerSet
-from rosemaryknot.process.planned_stop import NodeStop
 from rosemaryknot.process.scaling_duty import ScalingDuty
 from rosemaryknot.process.settings_watch import watch_settings
-from rosemaryknot.process.store_follower import StoreFollower
+from rosemaryknot.process.store_watcher import StoreWatcher
 from rosemaryknot.process.suspension import Suspension
-from rosemaryknot.process.true_time import TrueTime
+from rosemaryknot.process.synchronized_clock import SynchronizedClock
 from rosemaryknot.process.usage_duty import STORED_USAGE_RECORD, UsageDuty
 from rosemaryknot.process.usage_tracker import UsageTracker
 from rosemaryknot.request.gateway import Gateway, GatewayComponents
@@ -43,46 +43,48 @@
 
 __all__ = ["Adapter", "GatewayNode", "run_node"]
 
-# The links run between our own machines, on ports that nobody else reaches; the key
-# only keeps a node of another deployment away. See docs/design/platform.md.
+# Links connect only machines of the deployment, on ports that nobody else can reach.
+# The key only rejects nodes of another deployment. See docs/design/platform.md.
 LINK_KEY = b"rosemaryknot-gateway-links"
 LEASE_NAME = "gateway-duties"
 LEASE_MARGIN_S = 0.4
-# Of the time in which a duty must not go to and fro. A shorter lease is renewed more
-# often and changes hands sooner: at two thirds, within three seconds of a kill.
-LEASE_SHARE = 0.67
-# An entry that lapsed while the store was away is written again within two seconds of
-# its return, if its server lives; what is still missing then is gone.
-RETURN_S = 2.0
-DRAIN_USED = 0.85
-TIDY_S = 0.5
-# Descriptors that are not for callers: backend servers, store, peers, files.
-OTHER_FILES = 600
-READY = 200
-NOT_READY = 503
+# Share of the time in which a duty must not move to another node and back. A shorter
+# lease is renewed more often and taken over sooner: with two thirds, within three
+# seconds after its holder is killed.
+LEASE_DURATION_SHARE = 0.67
+# An entry that expired while the store was unreachable is written again within two
+# seconds after the store is back, if its server is alive. A server whose entry is still
+# missing then is removed.
+MISSING_ENTRY_TIMEOUT_S = 2.0
+MAX_DRAIN_SHARE = 0.85
+CLEANUP_INTERVAL_S = 0.5
+# File descriptors reserved for other uses than callers: servers, store, peers, files.
+RESERVED_FILES = 600
+READY_STATUS = 200
+NOT_READY_STATUS = 503
 
 log = logger("node")
 
 
 @dataclass(slots=True)
 class Adapter:
-    """How the platform is spoken to.
+    """Interface to the platform.
 
     Attributes
     ----------
     wire : GatewayWire
-        Headers of requests and answers.
+        Headers of requests and responses.
     store : object
         The store; see `rosemaryknot.values.store_changes.ChangeSource` and
         `rosemaryknot.values.platform.ObjectStore`.
     duties : DutyCalls or None
-        Calls for duties.
+        Calls that the duties make; None if the platform offers none.
     decode_configuration, decode_server : callable
-        Decode objects of the store.
+        Decode objects from the store.
     configuration_kind, configuration_name, servers_kind : str
-        Where these objects are.
+        Kinds and name of these objects in the store.
     readiness_path : str
-        What the balancer asks for.
+        Path that the load balancer probes.
     """
 
     wire: GatewayWire
@@ -97,20 +99,20 @@
 
 
 class GatewayNode:
-    """The parts of one node.
+    """The components of one node.
 
     Parameters
     ----------
     settings : NodeSettings
-        Checked settings.
+        Validated settings.
     adapter : Adapter
-        The platform.
+        Interface to the platform.
     network : Network
-        Where connections come from and go to.
+        Network for incoming and outgoing connections.
     rng : random.Random
-        Jitter and draws.
-    clock : TrueTime, optional
-        Another one in tests.
+        For jitter and sampling.
+    clock : SynchronizedClock, optional
+        Replacement for tests.
     """
 
     def __init__(
@@ -119,15 +121,15 @@
         adapter: Adapter,
         network: Network,
         rng: random.Random,
-        clock: TrueTime | None = None,
+        clock: SynchronizedClock | None = None,
     ) -> None:
         self.settings = settings
         self.adapter = adapter
         self.network = network
         self.rng = rng
-        self.clock = TrueTime() if clock is None else clock
-        # From when it was started, so that a later life of the node is known as such.
-        incarnation = int(self.clock.wall() * 1000)
+        self.clock = SynchronizedClock() if clock is None else clock
+        # The start time, so that a later incarnation of the node is recognized.
+        incarnation = int(self.clock.wall_clock() * 1000)
         self.node = Node(settings.node, settings.zone, incarnation)
         self.state = GatewayState(
             adapter.decode_configuration,
@@ -158,9 +160,9 @@
             bounds.retry_slack,
             lambda: len(self.peers.nodes()) + 1,
         )
-        self.followers = self.make_followers()
+        self.watchers = self.make_watchers()
         self.configurations = GatewayConfigurations(
-            self.peers, self.state, self.followers["configuration"], handlers
+            self.peers, self.state, self.watchers["configuration"], handlers
         )
         self.exchange = GatewayExchange(
             ExchangeComponents(
@@ -170,7 +172,7 @@
                 self.quota,
                 self.usage,
                 self.clock,
-                self.followers,
+                self.watchers,
                 self.demand,
                 self.configurations,
                 adapter.store,
@@ -179,10 +181,10 @@
             rng,
             LEASE_NAME,
         )
-        self.spread = ChangeSpread(
+        self.change_distributor = ChangeDistributor(
             self.node,
             self.peers,
-            self.followers,
+            self.watchers,
             self.exchange,
             self.configurations,
             handlers,
@@ -194,18 +196,18 @@
             self.gateway.handle,
             self.gateway.refuse_by_head,
             self.state.limits,
-            max(100, settings.machine.files - OTHER_FILES),
+            max(100, settings.machine.files - RESERVED_FILES),
             self.state.wait_known,
         )
         self.lease = self.make_lease()
-        self.take_bounds(settings.bounds)
+        self.apply_bounds(settings.bounds)
         self.exchange.hubs.holds_lease = self.lease.is_held
 
-    def make_followers(self) -> dict[str, StoreFollower]:
-        """Return what follows the configuration and the servers."""
+    def make_watchers(self) -> dict[str, StoreWatcher]:
+        """Return the watchers of the configuration and the servers."""
         adapter, state = self.adapter, self.state
         return {
-            "configuration": StoreFollower(
+            "configuration": StoreWatcher(
                 adapter.store,
                 adapter.configuration_kind,
                 state.list_configuration,
@@ -213,7 +215,7 @@
                 self.rng,
                 is_single=True,
             ),
-            "servers": StoreFollower(
+            "servers": StoreWatcher(
                 adapter.store,
                 adapter.servers_kind,
                 state.list_servers,
@@ -223,7 +225,7 @@
         }
 
     def gateway_components(self) -> GatewayComponents:
-        """Return what requests are answered with."""
+        """Return the components that handle requests."""
 
         def acquire_quota(limit: Any, units: float) -> float:
             return self.quota.acquire(limit, units, trio.current_time())
@@ -254,7 +256,7 @@
         )
 
     def make_lease(self) -> Lease:
-        """Return this node's view of the duties' lease."""
+        """Return this node's view of the lease of the duties."""
         return Lease(
             self.adapter.store,
             LEASE_NAME,
@@ -262,57 +264,59 @@
             self.is_candidate,
             self.rng,
             margin_s=LEASE_MARGIN_S,
-            suspended_s=Suspension().passed_s,
-            fresh_notes=self.kept_usage,
-            is_heard=self.is_holder_heard,
+            suspended_s=Suspension().elapsed_s,
+            current_notes=self.stored_usage,
+            is_reporting=self.is_holder_reporting,
             is_first_start=self.settings.is_first_start,
         )
 
-    def take_bounds(self, bounds: Bounds) -> None:
-        """Go by bounds, at the start and when the settings have changed.
+    def apply_bounds(self, bounds: Bounds) -> None:
+        """Apply bounds, at the start and when the settings have changed.
 
-        A usage window that is under way keeps its length: counted by another one, a
-        window would be told twice with different counts.
+        The current usage window keeps its length. If it changed, a window would be
+        reported twice with different counts.
         """
         self.settings.bounds = bounds
-        # A deletion may be a lapse of an outage, or the word of leaving: it must be
-        # heeded well before work has to have stopped.
-        drained_s = bounds.drain_ms / 1000 * DRAIN_USED
-        self.state.servers.missing_timeout_s = min(RETURN_S, drained_s)
-        self.lease.least_s = bounds.lease_ms / 1000
-        self.lease.duration_s = LEASE_SHARE * bounds.lease_ms / 1000
+        # A deleted entry may have expired in an outage, or announce that the server is
+        # draining: it must take effect well before the server stops its work.
+        max_timeout_s = bounds.drain_ms / 1000 * MAX_DRAIN_SHARE
+        self.state.servers.missing_timeout_s = min(
+            MISSING_ENTRY_TIMEOUT_S, max_timeout_s
+        )
+        self.lease.reacquire_delay_s = bounds.lease_ms / 1000
+        self.lease.duration_s = LEASE_DURATION_SHARE * bounds.lease_ms / 1000
         self.quota.window_s = bounds.limit_window_s
         self.budget.ratio = bounds.retry_ratio
         self.budget.window_s = bounds.retry_window_s
         self.budget.slack = bounds.retry_slack
 
-    def is_holder_heard(self, holder: str) -> bool:
-        """Tell whether the node of a lease's holder was heard just now."""
+    def is_holder_reporting(self, holder: str) -> bool:
+        """Return whether the node of a lease's holder has reported recently."""
         name = holder.partition("/")[0]
         return any(r.node == name for r in self.exchange.current_reports())
 
-    def kept_usage(self, notes: dict[str, Any]) -> dict[str, Any]:
-        """Return the usage that is kept in the store, with what stands there."""
+    def stored_usage(self, notes: dict[str, Any]) -> dict[str, Any]:
+        """Return the usage to keep in the store, merged with what it holds."""
         self.usage.restore(notes.get(STORED_USAGE_RECORD, {}))
         return {STORED_USAGE_RECORD: self.usage.to_store(self.clock.now())}
 
     def is_candidate(self) -> bool:
-        """Tell whether this node should take the duties where nobody does them."""
+        """Return whether this node should acquire the lease when nobody holds it."""
         if self.is_stopping() or not self.state.is_known():
             return False
         nodes = [*self.peers.nodes(), self.node]
         return self.node in lease_candidates(nodes, LEASE_NAME)
 
     def is_alone_in_zone(self) -> bool:
-        """Tell whether no other node of the zone is known."""
+        """Return whether no other node of the zone is known."""
         return all(node.zone != self.node.zone for node in self.peers.nodes())
 
     def is_stopping(self) -> bool:
-        """Tell whether a planned stop goes on."""
+        """Return whether a graceful shutdown is in progress."""
         return self.listener.state.stop is not None
 
     def is_ready(self) -> bool:
-        """Tell whether this node should get new connections."""
+        """Return whether this node should get new connections."""
         return self.state.is_known() and not self.is_stopping()
 
     async def serve(self, nursery: trio.Nursery) -> None:
@@ -324,9 +328,9 @@
         if self.settings.metrics_address != listen.readiness:
             await nursery.start(self.serve_pages, self.settings.metrics_address)
         await nursery.start(self.listener.run, listen.callers)
-        for follower in self.followers.values():
-            start_soon(follower.run)
-        start_soon(self.spread.run)
+        for watcher in self.watchers.values():
+            start_soon(watcher.run)
+        start_soon(self.change_distributor.run)
         start_soon(self.configurations.run)
         start_soon(self.exchange.run)
         start_soon(self.exchange.run_loads)
@@ -343,8 +347,8 @@
         )
 
     def start_duties(self, nursery: trio.Nursery) -> None:
-        """Start what is done under the lease."""
-        parts = DutyComponents(
+        """Start the lease and the duties, which only its holder performs."""
+        components = DutyComponents(
             self.lease,
             self.adapter.duties,
             self.state,
@@ -356,9 +360,9 @@
         duties = self.settings.cloud.duties
         delay_s = self.settings.bounds.usage_delay_s
         if "usage" in duties:
-            nursery.start_soon(UsageDuty(parts, delay_s).run)
+            nursery.start_soon(UsageDuty(components, delay_s).run)
         if "scaling" in duties:
-            nursery.start_soon(ScalingDuty(parts, self.rng).run)
+            nursery.start_soon(ScalingDuty(components, self.rng).run)
 
     async def serve_pages(
         self, address: Any, task_status: Any = trio.TASK_STATUS_IGNORED
@@ -371,36 +375,36 @@
         await PageServer(self.network, pages).run(address, task_status=task_status)
 
     def readiness_page(self) -> Page:
-        """Return what the balancer is told."""
-        return Page(READY if self.is_ready() else NOT_READY)
+        """Return the response to a probe of the load balancer."""
+        return Page(READY_STATUS if self.is_ready() else NOT_READY_STATUS)
 
     def metrics_page(self) -> Page:
-        """Return what the collector is told."""
+        """Return the response to the metrics collector."""
         OWED.set(len(self.listener.state.owed.all))
         self.peer_metrics.update()
         body, content_type = render_metrics()
-        return Page(READY, body, content_type)
+        return Page(READY_STATUS, body, content_type)
 
     async def clean_up(self) -> None:
-        """Close what is idle or gone, for ever."""
+        """Close idle connections and those to removed servers periodically."""
         while True:
-            await trio.sleep(TIDY_S)
-            for life in self.state.servers.pop_replaced():
-                self.pool.note_over(life)
+            await trio.sleep(CLEANUP_INTERVAL_S)
+            for incarnation in self.state.servers.pop_replaced():
+                self.pool.note_over(incarnation)
             await self.pool.clean_up()
-            for life in self.state.servers.clean_up():
-                await self.pool.close_all(life)
+            for incarnation in self.state.servers.clean_up():
+                await self.pool.close_all(incarnation)
 
-    async def end(self) -> None:
-        """End a planned stop: what was read is answered first."""
-        stop = NodeStop(
+    async def shut_down(self) -> None:
+        """Shut down gracefully, responding to requests that were read first."""
+        shutdown = GracefulShutdown(
             self.listener.state,
             self.gateway,
             self.lease,
             self.peers,
-            Suspension().passed_s,
+            Suspension().elapsed_s,
         )
-        await stop.run(self.settings.bounds.grace_s)
+        await shutdown.run(self.settings.bounds.grace_s)
 
 
 async def run_node(
@@ -410,29 +414,29 @@
     stop: trio.Event,
     network: Network,
     rng: random.Random | None = None,
-    clock: TrueTime | None = None,
+    clock: SynchronizedClock | None = None,
     task_status: trio.TaskStatus[GatewayNode] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run a node until a planned stop is over.
+    """Run a node until its graceful shutdown is complete.
 
     Parameters
     ----------
     settings : NodeSettings
-        Checked settings.
+        Validated settings.
     path : pathlib.Path or None
-        Their file, which is read again when it changes.
+        File of the settings, which is read again when it changes.
     make_adapter : callable
         Makes the adapter of the platform.
     stop : trio.Event
-        Asks for a planned stop.
+        Set to request a graceful shutdown.
     network : Network
-        Where connections come from and go to.
+        Network for incoming and outgoing connections.
     rng : random.Random, optional
-        A seeded one in tests.
-    clock : TrueTime, optional
-        Another one in tests.
+        Seeded generator for tests.
+    clock : SynchronizedClock, optional
+        Replacement for tests.
     task_status : trio.TaskStatus
-        Told the node once it serves.
+        Receives the node once it serves.
     """
     rng = random.Random() if rng is None else rng
     adapter = make_adapter(settings, network)
@@ -443,5 +447,5 @@
             nursery.start_soon(watch_settings, node, path)
         task_status.started(node)
         await stop.wait()
-        await node.end()
+        await node.shut_down()
         nursery.cancel_scope.cancel()
--- a/src/rosemaryknot/process/node_main.py
+++ b/src/rosemaryknot/process/node_main.py
@@ -1,4 +1,4 @@
-"""Start of a gateway node: loads its program without looking for garbage."""
+"""Entry point of a gateway node, which loads the program without garbage collection."""
 
 import gc
 
@@ -7,8 +7,8 @@
 
 def main() -> None:
     """Run the command line."""
-    # Nothing that is loaded is garbage: the collector's passes over it took 0.08 s of
-    # 0.48 s of processor time, least of twelve starts each. Callers wait meanwhile.
+    # Loading creates no garbage, but collections took 0.08 s of 0.48 s of CPU time (the
+    # minimum of twelve starts each), during which callers wait.
     gc.disable()
     from rosemaryknot.process.node_program_main import application
 
--- a/src/rosemaryknot/process/node_program_main.py
+++ b/src/rosemaryknot/process/node_program_main.py
@@ -21,15 +21,15 @@
 __all__ = ["application"]
 
 STDOUT = 1
-# A busy node writes some 150 lines a second, two to four a request; at three times
-# that, writing takes about a thirtieth of a core (60 us a line).
+# A busy node writes about 150 lines per second, two to four per request. At about three
+# times that rate, writing uses about a thirtieth of a core (60 us per line).
 MAX_LINES_PER_S = 500
 
 application = new_application("Serve callers in front of backend servers.")
 
 
 def checked_node_settings(file: Path) -> NodeSettings:
-    """Return whole settings, or print all errors and end the program."""
+    """Return valid settings, or print all errors and exit."""
     settings = load_node_settings(file)
     if isinstance(settings, NodeSettings):
         return settings
@@ -39,7 +39,7 @@
 
 
 def end_loading() -> None:
-    """Look for garbage again, and leave out what was loaded."""
+    """Enable garbage collection again, excluding all objects loaded so far."""
     gc.freeze()
     gc.enable()
 
@@ -48,8 +48,8 @@
 def node(file: SettingsFile, version: VersionOption = False) -> None:
     """Serve callers until SIGTERM; SIGHUP reads the settings again.
 
-    The first SIGTERM or SIGINT asks for a planned stop: requests that were read are
-    answered first. A second one cuts the wait short.
+    The first SIGTERM or SIGINT starts a graceful shutdown: requests that were read
+    are completed first. A second one ends the wait early.
     """
     settings = checked_node_settings(file)
     configure_logs(settings.log.format, settings.log.level, STDOUT, MAX_LINES_PER_S)
--- a/src/rosemaryknot/process/node_settings.py
+++ b/src/rosemaryknot/process/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway node: a JSON file, checked as a whole."""
+"""Settings of a gateway node, read from a JSON file and validated as a whole."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -36,16 +36,16 @@
 @with_config(STRICT)
 @dataclass(slots=True)
 class NodeListen:
-    """Where the node listens.
+    """Addresses on which the node listens.
 
     Attributes
     ----------
     callers : Address
-        For callers.
+        Address for callers.
     readiness : Address
-        For the balancer's questions.
+        Address for probes of the load balancer.
     peers : Address
-        For the other nodes.
+        Address for the other nodes.
     """
 
     callers: AddressText
@@ -61,7 +61,7 @@
     Attributes
     ----------
     address : Address
-        Where it answers.
+        Address of the store.
     """
 
     address: AddressText
@@ -70,14 +70,14 @@
 @with_config(STRICT)
 @dataclass(slots=True)
 class Cloud:
-    """The platform's calls for duties.
+    """The platform's API for duties, tasks that only the holder of a lease performs.
 
     Attributes
     ----------
     address : Address
-        Where it answers.
+        Address of the API.
     duties : list of str
-        ``usage`` and ``scaling``, as far as they are asked for.
+        Enabled duties: ``usage``, ``scaling`` or both.
     """
 
     address: AddressText
@@ -87,14 +87,14 @@
 @with_config(STRICT)
 @dataclass(slots=True)
 class Machine:
-    """What the machine gives a process.
+    """Resources that the machine gives the process.
 
     Attributes
     ----------
     memory_mb : float
-        Memory; a process above it is ended.
+        Memory in megabytes; a process that uses more is terminated.
     files : int
-        Descriptors.
+        Number of file descriptors.
     """
 
     memory_mb: Seconds = 256.0
@@ -104,28 +104,28 @@
 @with_config(STRICT)
 @dataclass(slots=True)
 class Bounds:
-    """Bounds that the deployment sets, with the values used where it sets none.
+    """Bounds that the deployment sets, with default values.
 
     Attributes
     ----------
     grace_s : float
-        From the signal to stop to the end of the process, in seconds.
+        Time from the signal to stop until the process must have ended, in seconds.
     retry_ratio : float
-        Attempts beyond the first for each request of a service.
+        Allowed retries per request of a service.
     retry_window_s : float
-        Window in which they are counted, in seconds.
+        Window in which retries are counted, in seconds.
     retry_slack : float
-        Attempts that all nodes together may make besides.
+        Additional retries that all nodes together may make.
     limit_window_s : float
-        Window over which customers' limits count, in seconds.
+        Window of the customers' limits, in seconds.
     usage_window_s : float
         Length of a usage window, in seconds.
     usage_delay_s : float
-        When the usage of a window is due after its end, in seconds.
+        Time after the end of a window at which its usage is due, in seconds.
     drain_ms : float
-        How long a server that leaves still serves, in milliseconds.
+        How long a draining server still serves, in milliseconds.
     lease_ms : float
-        Least time of a lease, in milliseconds.
+        Minimum duration of a lease, in milliseconds.
     """
 
     grace_s: Seconds = 8.0
@@ -147,29 +147,29 @@
     Attributes
     ----------
     node : str
-        Name of the node; the same after a restart.
+        Name of the node, which stays the same after a restart.
     zone, region : str
-        Where it is.
+        Availability zone and region of the node.
     listen : NodeListen
-        Where it listens.
+        Addresses on which it listens.
     store : Store
         The platform's store.
     metrics_port : int
-        For the metrics collector, at the callers' address.
+        Port for the metrics collector, at the callers' address.
     zones : dict of str to str
-        All availability zones and their regions.
+        Region of each availability zone.
     seeds : list of Address
-        Where other nodes may be found.
+        Addresses of nodes through which the others are discovered.
     is_first_start : bool
         Whether the whole system starts for the first time.
     cloud : Cloud or None
-        Calls for duties, where there are any.
+        API for duties; None if this node performs none.
     machine : Machine
-        What the machine gives.
+        Resources that the machine gives.
     bounds : Bounds
-        Bounds of the deployment.
+        Bounds that the deployment sets.
     log : LogSettings
-        How the process logs.
+        Format and level of the log.
     """
 
     node: Name
@@ -188,7 +188,7 @@
 
     @property
     def metrics_address(self) -> Address:
-        """Where metrics are served."""
+        """Address on which metrics are served."""
         return Address(self.listen.callers.host, self.metrics_port)
 
 
@@ -196,7 +196,7 @@
 
 
 def load_node_settings(path: Path | str) -> NodeSettings | list[SettingsError]:
-    """Load and check a settings file.
+    """Load and validate a settings file.
 
     Parameters
     ----------
@@ -206,6 +206,6 @@
     Returns
     -------
     settings : NodeSettings or list of SettingsError
-        Whole settings, or everything that is wrong.
+        The settings, or all errors found.
     """
     return read_checked(path, ADAPTER)
--- a/src/rosemaryknot/process/orders.py
+++ b/src/rosemaryknot/process/orders.py
@@ -121,9 +121,9 @@
         """Return why no order may be sent now, or an empty string."""
         # An order is sent only if its call ends before the lease expires, unless the
         # process is paused.
-        if self.lease.left_s() < MIN_LEASE_REMAINING_S:
+        if self.lease.remaining_s() < MIN_LEASE_REMAINING_S:
             return NOT_HOLDER
-        must_wait = not target.checks_fencing and not self.lease.is_clean
+        must_wait = not target.checks_fencing and not self.lease.is_clean_handover
         held_s = trio.current_time() - self.lease.acquired_s
         if must_wait and held_s < PREDECESSOR_GRACE_S:
             return PREDECESSOR_ACTIVE
@@ -179,7 +179,7 @@
         with self.track_pending(f"{order.order} to {server.instance}"):
             outcome = await self.client.order(server, order, self.lease.fencing)
         if isinstance(outcome, OrderRefused) and outcome.fencing:
-            self.lease.note_fencing(outcome.fencing)
+            self.lease.record_fencing(outcome.fencing)
         return self.record_outcome(order.order, outcome)
 
     def server_refusal(
--- a/src/rosemaryknot/process/peers.py
+++ b/src/rosemaryknot/process/peers.py
@@ -22,8 +22,8 @@
 from rosemaryknot.process.peer import SILENT_S, LinkEnd, Peer, full_jitter
 from rosemaryknot.process.peer_dialler import ENTRY_ROLE, PeerDialler
 from rosemaryknot.process.peer_forwarding import Forwarder
+from rosemaryknot.process.peer_gossip import PeerGossip
 from rosemaryknot.process.peer_links import LinkPlan, link_targets
-from rosemaryknot.process.peer_spread import PeerSpread
 from rosemaryknot.process.peer_table import PeerTable
 from rosemaryknot.values.messages import Message, encode_message
 from rosemaryknot.values.nodes import Address, Node
@@ -124,7 +124,7 @@
         self.forwarder = Forwarder(
             node, handlers, self.best_link, self.linked, self.nodes, self.plan
         )
-        self.spread = PeerSpread(
+        self.gossip = PeerGossip(
             self.table, handlers, self.linked, self.send, self.note_record, self.rng
         )
         handlers.on(PeerProbe)(self.handle_probe)
@@ -283,13 +283,13 @@
             self.table.own.address = str(self.listen)
             for seed in self.seeds:
                 self.nursery.start_soon(self.run_seed, seed)
-            self.nursery.start_soon(self.spread.run)
+            self.nursery.start_soon(self.gossip.run)
             self.nursery.start_soon(self.run_table)
             task_status.started(self.listen)
 
     async def leave(self) -> None:
         """Say goodbye, so that nobody has to find out."""
-        await self.spread.farewell()
+        await self.gossip.announce_leave()
         async with trio.open_nursery() as nursery:
             for node in self.linked():
                 nursery.start_soon(self.best_link(node.name).flush, GOODBYE_S)
@@ -321,7 +321,7 @@
                 await self.touched.wait()
             self.touched = trio.Event()
             self.refresh()
-            await self.spread.spread()
+            await self.gossip.gossip()
             await trio.sleep(SPREAD_S)
 
     def refresh(self) -> None:
@@ -343,9 +343,9 @@
             if name not in self.peers:
                 self.peers[name] = Peer(self.node.name, name)
                 self.nursery.start_soon(self.run_peer, self.peers[name])
-        self.note_live()
+        self.update_live_nodes()
 
-    def note_live(self) -> None:
+    def update_live_nodes(self) -> None:
         """Tell those who wait when the live nodes are others."""
         nodes = {node.name: node for node in self.table.live_nodes()}
         for node in self.linked():
@@ -385,7 +385,7 @@
     def wants_link(self, peer: Peer) -> bool:
         """Tell whether this node keeps a link to a peer."""
         record = self.table.records.get(peer.name)
-        if record is None or record.state == PeerState.LEFT or self.spread.is_stopped:
+        if record is None or record.state == PeerState.LEFT or self.gossip.has_left:
             return False
         return peer.name in self.targets
 
@@ -465,7 +465,7 @@
         """Exchange messages with a peer until the link ends."""
         peer = self.peers[end.link.hello.name]
         try:
-            await self.spread.greet(end.link)
+            await self.gossip.start_comparison(end.link)
             await end.link.run()
         finally:
             peer.remove(end)
--- a/src/rosemaryknot/process/placement/manager.py
+++ b/src/rosemaryknot/process/placement/manager.py
@@ -179,7 +179,7 @@
         status = {
             "service": service,
             "holder": "" if lease.record is None else lease.record.holder,
-            "fencing": lease.highest,
+            "fencing": lease.highest_fencing,
             "held_here": lease.is_held(),
             "candidates": [node.name for node in self.candidates(service)],
             "pending": pending,
--- a/src/rosemaryknot/process/placement/removal.py
+++ b/src/rosemaryknot/process/placement/removal.py
@@ -99,7 +99,7 @@
         )
         if surplus_s < MIN_SURPLUS_S or not await self.may_drain(target, name, servers):
             return
-        if not await self.lease.note_leaving([name]):
+        if not await self.lease.record_draining([name]):
             return
         DECISIONS.add(service=target.service, decision="drain")
         self.record(target, f"drain {name}: {decision.reason}", name)
@@ -116,7 +116,7 @@
         failed = [name for name in names if name not in self.lease.leaving]
         if not failed or not self.sender.is_settled():
             return
-        if await self.lease.note_leaving(failed):
+        if await self.lease.record_draining(failed):
             for name in failed:
                 self.record(target, f"abandon {name}: got no address in time", name)
 
@@ -182,11 +182,11 @@
         """Forget an instance if the platform confirms its termination."""
         found = await self.cloud.instance(name)
         if isinstance(found, Missing):
-            self.lease.forget_leaving(name)
+            self.lease.forget_draining(name)
         elif isinstance(found, BackendServer) and (
             found.state == ServerState.TERMINATED
         ):
-            self.lease.forget_leaving(name)
+            self.lease.forget_draining(name)
 
     async def is_idle(self, target: ServiceTarget, server: BackendServer) -> bool:
         """Return whether a draining server has no requests left.
@@ -220,7 +220,7 @@
         outcome = await self.sender.release(target, name)
         if isinstance(outcome, OrderDone):
             self.servers.mark_terminated(name, "platform")
-            self.lease.forget_leaving(name)
+            self.lease.forget_draining(name)
             self.idle_since_s.pop(name, None)
 
     def record(self, target: ServiceTarget, text: str, name: str) -> None:
--- a/src/rosemaryknot/process/placement/server_orders.py
+++ b/src/rosemaryknot/process/placement/server_orders.py
@@ -78,7 +78,7 @@
         if read is None:
             self.next_read_s[name] = trio.current_time() + RETRY_DELAY_S
             return
-        self.sender.lease.note_fencing(read.fencing)
+        self.sender.lease.record_fencing(read.fencing)
         orders = self.missing_orders(target, name, read)
         for order in orders:
             outcome = await self.sender.order(target, server, order)
--- a/src/rosemaryknot/process/scaling_duty.py
+++ b/src/rosemaryknot/process/scaling_duty.py
@@ -389,4 +389,4 @@
             key = (order.service, order.zone)
             self.exhausted_until_s[key] = self.now() + EXHAUSTED_ZONE_TTL_S
             return
-        self.components.lease.note_fencing(fencing + 1)
+        self.components.lease.record_fencing(fencing + 1)
--- a/src/rosemaryknot/process/settings_watch.py
+++ b/src/rosemaryknot/process/settings_watch.py
@@ -58,6 +58,6 @@
         for error in settings:
             log.error("settings not taken over", error=str(error))
         return
-    node.take_bounds(settings.bounds)
+    node.apply_bounds(settings.bounds)
     node.peers.add_seeds(settings.seeds)
     log.info("settings taken over", seeds=len(settings.seeds))
--- /dev/null
+++ b/src/rosemaryknot/process/store_watcher.py
@@ -0,0 +1,255 @@
+"""Watches one kind of object in the store: lists it, then reads its changes."""
+
+import random
+from collections.abc import Callable
+
+import trio
+
+from rosemaryknot.process.logs import logger
+from rosemaryknot.process.metrics import counter
+from rosemaryknot.values.platform import (
+    TIMEOUT,
+    Listed,
+    ObjectChanged,
+    PlatformFailed,
+)
+from rosemaryknot.values.store_changes import Changes, ChangeSource, HistoryGone
+
+__all__ = ["StoreWatcher"]
+
+# How long the store holds a request while there are no changes. A watch that went
+# silent is replaced after this time plus the timeout of the call; changes that peers
+# forward arrive earlier.
+LONG_POLL_S = 5.0
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 0.8
+# Minimum time between two resynchronizations that reports of other nodes trigger; equal
+# to the timeout of a call.
+RESYNC_INTERVAL_S = 2.0
+# While the store is unreachable it is polled without waiting, so that its return is
+# seen immediately. A node that others forward changes to does the same to fetch what
+# it missed.
+SHORT_POLL_S = 0.0
+# How long a node watches the store itself after forwarded changes have proved
+# incomplete: as long as a call of a watching node may take to show that the store is
+# unreachable from there.
+OWN_WATCH_S = LONG_POLL_S + 2.0
+# How often a node that others forward changes to checks whether it must watch itself.
+WATCH_CHECK_INTERVAL_S = 0.25
+
+CALLS = counter("store_calls_total", "Calls to the store by kind and outcome.")
+
+log = logger("store")
+
+
+class StoreWatcher:
+    """Keeps the local state of one kind of object current.
+
+    Parameters
+    ----------
+    store : ChangeSource
+        The store.
+    kind : str
+        Kind of the objects.
+    on_list : callable
+        Called with each list.
+    on_change : callable
+        Called with each change.
+    rng : random.Random
+        For jitter of the backoff.
+    is_single : bool
+        Whether the kind has a single object, so that a list is never larger than the
+        changes.
+
+    Attributes
+    ----------
+    revision : int
+        Revision up to which all changes are known; -1 before the first list.
+    seen : int
+        Revision of the newest change that was applied.
+    call_started_s : float
+        When the pending call to the store started; infinite if there is none.
+    own_watch_deadline_s : float
+        Until when this node watches the store itself, whatever others forward.
+    should_watch : callable
+        Returns whether this node watches the store itself; if not, other nodes forward
+        the changes to it.
+    on_applied : callable
+        Called with the previous revision and the changes, after changes from the store
+        were applied.
+    on_listed : callable
+        Called after a list from the store was applied.
+    must_list : bool
+        Whether the next step lists the objects.
+    """
+
+    def __init__(
+        self,
+        store: ChangeSource,
+        kind: str,
+        on_list: Callable[[Listed], None],
+        on_change: Callable[[ObjectChanged], None],
+        rng: random.Random,
+        is_single: bool = False,
+    ) -> None:
+        self.store = store
+        self.kind = kind
+        self.on_list = on_list
+        self.on_change = on_change
+        self.rng = rng
+        self.is_single = is_single
+        self.revision = -1
+        self.seen = -1
+        self.last_resync_s = float("-inf")
+        self.failures = 0
+        self.resync_pending = False
+        self.call_started_s = float("inf")
+        self.own_watch_deadline_s = float("-inf")
+        self.should_watch: Callable[[], bool] = lambda: True
+        self.on_applied: Callable[[int, Changes], None] = lambda before, changes: None
+        self.on_listed: Callable[[], None] = lambda: None
+        self.must_list = False
+        self.scope = trio.CancelScope()
+
+    async def run(self) -> None:
+        """Watch until cancelled."""
+        while True:
+            with trio.CancelScope() as self.scope:
+                await self.step()
+
+    def resync(self, reason: str) -> None:
+        """Query the store immediately, because another node has newer changes.
+
+        A watch whose connection state the network has lost stays silent, and the node
+        would keep an old state until the wait is over. The store is queried again no
+        sooner than a call may take, or no call would ever finish. Until then and for
+        some time after, this node watches the store itself, or the next change would be
+        delayed by the interval.
+        """
+        now_s = trio.current_time()
+        self.own_watch_deadline_s = now_s + OWN_WATCH_S
+        if now_s - self.last_resync_s < RESYNC_INTERVAL_S:
+            return
+        self.last_resync_s = now_s
+        self.resync_pending = True
+        self.must_list = self.is_single
+        log.info(
+            "resynchronizing", kind=self.kind, reason=reason, revision=self.revision
+        )
+        self.scope.cancel()
+
+    def has_call_since_before(self, moment_s: float) -> bool:
+        """Return whether a call that started before a time is still pending."""
+        return self.call_started_s < moment_s
+
+    async def step(self) -> None:
+        """List the objects, or wait for changes, and apply the result."""
+        if self.revision < 0 or self.must_list:
+            await self.list_all()
+            return
+        is_watching = (
+            self.should_watch() or trio.current_time() < self.own_watch_deadline_s
+        )
+        if not is_watching and not self.failures and not self.resync_pending:
+            await trio.sleep(WATCH_CHECK_INTERVAL_S)
+            return
+        self.resync_pending = False
+        wait_s = LONG_POLL_S if is_watching and not self.failures else SHORT_POLL_S
+        self.call_started_s = trio.current_time()
+        try:
+            outcome = await self.store.changes(self.kind, self.revision, wait_s)
+        finally:
+            self.call_started_s = float("inf")
+        if isinstance(outcome, PlatformFailed):
+            # Changes that a slow link could not deliver within the timeout of the call
+            # only grow in number; a list does not.
+            self.must_list = self.is_single and outcome.reason == TIMEOUT
+            await self.record_failure(outcome)
+        elif isinstance(outcome, HistoryGone):
+            log.info("change history expired, listing again", kind=self.kind)
+            await self.list_all()
+        else:
+            self.apply_store_changes(outcome)
+
+    def apply_store_changes(self, changes: Changes) -> None:
+        """Apply changes that the store returned."""
+        self.record_success()
+        before = self.revision
+        self.apply(changes)
+        if changes.events:
+            self.on_applied(before, changes)
+        # While an object is written faster than its versions can be read, each response
+        # holds more of them than the previous one; a list holds only the newest.
+        self.must_list = self.is_single and len(changes.events) > 1
+
+    def apply_forwarded(self, before: int, changes: Changes) -> None:
+        """Apply changes after a revision that another node received from the store.
+
+        If changes before them are missing here, they are still newer than all that is
+        known and take effect immediately. The response to the next call brings them
+        again, together with the missing ones.
+        """
+        if self.revision < 0:
+            return
+        if before > self.revision:
+            for change in changes.events:
+                self.on_change(change)
+            self.resync(f"changes from {before} on were forwarded")
+            return
+        self.apply(changes)
+
+    def advance_to(self, revision: int) -> None:
+        """Advance to a revision up to which all relevant changes are known."""
+        if self.revision >= 0:
+            self.revision = max(self.revision, revision)
+            self.seen = max(self.seen, revision)
+
+    def apply(self, changes: Changes) -> None:
+        """Apply changes in their order, and skip those that are already known.
+
+        Nodes forward changes to each other while a response of the store is in transit.
+        Without the check, an entry that this response still holds, and whose deletion
+        was forwarded meanwhile, would be restored permanently.
+        """
+        for change in changes.events:
+            if change.version > self.revision:
+                self.on_change(change)
+                self.seen = max(self.seen, change.version)
+        self.revision = max(self.revision, changes.revision)
+
+    async def list_all(self) -> None:
+        """List the objects and apply the list."""
+        listed = await self.store.list_objects(self.kind)
+        if isinstance(listed, PlatformFailed):
+            await self.record_failure(listed)
+            return
+        self.record_success()
+        self.must_list = False
+        if listed.version < self.revision:
+            log.warning("outdated list ignored", kind=self.kind, at=listed.version)
+            return
+        self.on_list(listed)
+        self.revision = listed.version
+        found = [entry.version for entry in listed.objects.values()]
+        self.seen = max([self.seen, *found])
+        self.on_listed()
+
+    def is_unreachable(self) -> bool:
+        """Return whether the store is currently unreachable."""
+        return self.failures > 0 or self.revision < 0
+
+    def record_success(self) -> None:
+        """Count a successful call."""
+        CALLS.add(kind=self.kind, outcome="ok")
+        if self.failures:
+            log.info("store reachable again", kind=self.kind, failures=self.failures)
+            self.failures = 0
+
+    async def record_failure(self, failed: PlatformFailed) -> None:
+        """Count a failed call and back off."""
+        CALLS.add(kind=self.kind, outcome=failed.reason)
+        self.failures += 1
+        if self.failures == 1:
+            log.warning("store unreachable", kind=self.kind, reason=failed.reason)
+        backoff_s = min(MIN_BACKOFF_S * 2 ** min(self.failures - 1, 5), MAX_BACKOFF_S)
+        await trio.sleep(backoff_s * self.rng.uniform(0.5, 1.0))
--- a/src/rosemaryknot/process/suspension.py
+++ b/src/rosemaryknot/process/suspension.py
@@ -1,22 +1,22 @@
-"""How long the machine of this process was suspended."""
+"""Measures how long the machine of this process has been suspended."""
 
 import time
 
-from rosemaryknot.process.true_time import running_time_s
+from rosemaryknot.process.synchronized_clock import boot_time_s
 
 __all__ = ["Suspension"]
 
 
 class Suspension:
-    """Tells how long the machine was suspended since the start."""
+    """Measures the time in suspension since this object was created."""
 
     def __init__(self) -> None:
-        self.first = self.difference()
+        self.start_difference_s = self.clock_difference_s()
 
-    def difference(self) -> float:
-        """Return how far the time that goes on is ahead of the steady one."""
-        return running_time_s() - time.monotonic()
+    def clock_difference_s(self) -> float:
+        """Return how far the boot-time clock is ahead of the monotonic clock."""
+        return boot_time_s() - time.monotonic()
 
-    def passed_s(self) -> float:
-        """Return the time in suspension, in seconds."""
-        return max(0.0, self.difference() - self.first)
+    def elapsed_s(self) -> float:
+        """Return the time spent in suspension, in seconds."""
+        return max(0.0, self.clock_difference_s() - self.start_difference_s)
--- a/src/rosemaryknot/process/usage_duty.py
+++ b/src/rosemaryknot/process/usage_duty.py
@@ -169,7 +169,7 @@
         if isinstance(outcome, DutyDone):
             self.done = window
         elif isinstance(outcome, DutyRefused):
-            components.lease.note_fencing(fencing + 1)
+            components.lease.record_fencing(fencing + 1)
             self.retry_s = trio.current_time() + RETRY_DELAY_S
         else:
             self.retry_s = trio.current_time() + RETRY_DELAY_S
--- a/src/rosemaryknot/request/accounts.py
+++ b/src/rosemaryknot/request/accounts.py
@@ -1,4 +1,4 @@
-"""Budget of one customer as an entry holds it, and what requests are charged."""
+"""Budget that an entry leases for one customer, and charges of requests to it."""
 
 import math
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 import trio
 
 from rosemaryknot.process.limits.bucket import Bucket
-from rosemaryknot.request.budget_queue import BudgetQueue, Lack
+from rosemaryknot.request.budget_queue import BudgetQueue, Shortfall
 from rosemaryknot.values.limits import BudgetAsk, BudgetGrant
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.values.outcomes import NotRun, Reason
@@ -14,60 +14,64 @@
 
 __all__ = ["UNLIMITED_CHARGE", "Account", "Charge", "limit_reached", "new_account"]
 
-AHEAD_S = 0.4
-FIRST_FALLBACK_SHARE = 0.01
-MIN_RETRY_S = 0.001
-MAX_RETRY_S = 60.0
-SLOT_RETRY_S = 1.0
-QUIET_S = 0.2
-FALLBACK_S = 1.0
-MIN_RATE = 1e-3
-SPARE_SLOT_S = 1.0
+# Time for which prefetched tokens last at the current spend rate.
+PREFETCH_S = 0.4
+# Fixed share until an owner has sent one.
+INITIAL_FALLBACK_SHARE = 0.01
+MIN_RETRY_AFTER_S = 0.001
+MAX_RETRY_AFTER_S = 60.0
+SLOT_RETRY_AFTER_S = 1.0
+# Minimum time between a refusal and the next budget request for the same shortfall.
+MIN_REQUEST_INTERVAL_S = 0.2
+FALLBACK_DURATION_S = 1.0
+MIN_RATE_TOKENS_PER_S = 1e-3
+# A spare slot is returned if no request came for this long.
+SPARE_SLOT_TTL_S = 1.0
 
 
 @dataclass(slots=True)
 class Account:
-    """Budget of one customer at one service, as far as this entry has it.
+    """Budget of one customer at one service that this entry leases.
 
     Attributes
     ----------
     limit : Limit
-        The whole limit.
+        Total limit of the customer at the service.
+    fallback : Bucket
+        Tokens of the fixed share, which is used while no owner responds.
     tokens : float
-        Tokens that may be spent; negative where requests used more than charged.
+        Leased tokens; negative if requests used more than they were charged.
     slots, used_slots : int
-        Slots on lease, and those that requests in flight take up.
-    until_s : float
-        When the lease ends, in trio time.
+        Leased slots, and those held by requests in flight.
+    lease_expiry_s : float
+        Expiry of the lease, in trio time.
     refused_until_s : float
-        When what the owner refused last will be there.
-    quiet_until_s : float
-        Until when the owner is not asked again for it.
+        Time at which the budget that the owner refused last will be available.
+    no_request_until_s : float
+        Time before which the owner is not asked for it again.
     refused_tokens : float
-        Tokens that it refused; 0 where slots were missing.
+        Tokens that the owner refused; 0 if slots were missing.
     rate : float
-        Tokens a second that the zone gets.
+        Tokens per second that the zone gets.
     spent : float
         Tokens charged since the last renewal.
     spend_rate : float
-        Moving mean of the tokens charged a second.
-    fallback : Bucket
-        Tokens of the fixed share, used while no owner answers.
-    fallback_share : float
-        That share of the whole limit.
+        Moving mean of the tokens charged per second.
     fallback_until_s : float
-        Until when it is used.
-    grants_from_s, early_tokens : float
-        When a new owner that may not grant yet will grant what it was asked for,
-        and how much that was.
-    touched_s : float
-        When a request last came.
-    is_asking : bool
-        Whether an ask ahead of need is under way.
+        End of the use of the fixed share.
+    fallback_share : float
+        The fixed share, as a fraction of the total limit.
+    granting_from_s, deferred_tokens : float
+        Time from which a new owner that may not grant yet will grant a request, and
+        the tokens of that request.
+    last_request_s : float
+        Arrival of the newest request, in trio time.
+    is_prefetching : bool
+        Whether a budget request ahead of need is under way.
     queue : BudgetQueue
         Requests that wait for tokens.
     lock : trio.Lock
-        Held during an ask: the owner sees one at a time.
+        Held during a budget request, so that the owner receives one at a time.
     """
 
     limit: Limit
@@ -75,66 +79,66 @@
     tokens: float = 0.0
     slots: int = 0
     used_slots: int = 0
-    until_s: float = -math.inf
+    lease_expiry_s: float = -math.inf
     refused_until_s: float = -math.inf
-    quiet_until_s: float = -math.inf
+    no_request_until_s: float = -math.inf
     refused_tokens: float = math.inf
     rate: float = math.inf
     spent: float = 0.0
     spend_rate: float = 0.0
     fallback_until_s: float = -math.inf
-    fallback_share: float = FIRST_FALLBACK_SHARE
-    grants_from_s: float = -math.inf
-    early_tokens: float = 0.0
-    touched_s: float = 0.0
-    is_asking: bool = False
+    fallback_share: float = INITIAL_FALLBACK_SHARE
+    granting_from_s: float = -math.inf
+    deferred_tokens: float = 0.0
+    last_request_s: float = 0.0
+    is_prefetching: bool = False
     queue: BudgetQueue = field(default_factory=BudgetQueue)
     lock: trio.Lock = field(default_factory=trio.Lock)
 
     def expire(self, now_s: float) -> None:
-        """Drop what the lease no longer covers; a debt stays."""
-        if now_s >= self.until_s:
+        """Remove what an expired lease no longer covers; a debt remains."""
+        if now_s >= self.lease_expiry_s:
             self.tokens = min(self.tokens, 0.0)
             self.slots = min(self.slots, self.used_slots)
 
     def has_slot(self) -> bool:
-        """Tell whether a request may start by the number of requests."""
+        """Return whether a slot is free for another request."""
         return math.isinf(self.limit.concurrent_requests) or (
             self.used_slots < self.slots
         )
 
-    def has(self, tokens: float) -> bool:
-        """Tell whether a request may start by the lease."""
+    def covers(self, tokens: float) -> bool:
+        """Return whether the lease covers a request."""
         return self.has_slot() and (tokens <= 0 or self.tokens >= tokens)
 
     def wanted_tokens(self) -> float:
-        """Return the tokens to have in stock until the next renewal."""
-        return self.spend_rate * AHEAD_S
+        """Return the tokens to hold until the next renewal."""
+        return self.spend_rate * PREFETCH_S
 
-    def is_busy(self) -> bool:
-        """Tell whether the lease is worth renewing."""
-        stock = self.used_slots or self.slots or self.tokens
-        return bool(stock or self.spent or self.spend_rate or self.queue)
+    def needs_lease(self) -> bool:
+        """Return whether the lease has to be renewed."""
+        held = self.used_slots or self.slots or self.tokens
+        return bool(held or self.spent or self.spend_rate or self.queue)
 
-    def known_lack(self, tokens: float) -> Lack | None:
-        """Refuse without a call what the owner has refused until later.
+    def known_shortfall(self, tokens: float) -> Shortfall | None:
+        """Return the shortfall that follows from an earlier refusal of the owner.
 
-        A customer who floods so costs the owner a few asks a second, and not one for
-        each request. The owner is asked again before the time that it named: budget
-        of other zones may come earlier.
+        A customer that floods the entry thus costs the owner a few budget requests per
+        second, and not one for each request. The owner is asked again before the time
+        that it named, since budget of other zones may arrive earlier.
         """
         now_s = trio.current_time()
-        if now_s >= self.quiet_until_s:
+        if now_s >= self.no_request_until_s:
             return None
         if self.refused_tokens == 0 and not self.has_slot():
-            return Lack(self.refused_until_s - now_s, True, True)
+            return Shortfall(self.refused_until_s - now_s, True, True)
         lacking = tokens - max(0.0, self.tokens) - self.refused_tokens
         if tokens <= 0 or self.refused_tokens == 0 or lacking < 0:
             return None
         wait_s = self.refused_until_s - now_s + lacking / self.rate
-        return Lack(wait_s)
+        return Shortfall(wait_s)
 
-    def new_ask(
+    def new_request(
         self,
         key: tuple[str, str],
         node: Node,
@@ -143,13 +147,13 @@
         slots: int,
         max_wait_s: float = 0.0,
     ) -> BudgetAsk:
-        """Return the next ask; what it gives back leaves the account."""
+        """Return the next budget request; tokens that it returns leave the account."""
         wanted = self.wanted_tokens()
         returned = self.tokens - min(self.tokens, wanted)
         if self.tokens < 0:
             returned = self.tokens
         self.tokens -= returned
-        is_recent = trio.current_time() - self.touched_s < SPARE_SLOT_S
+        is_recent = trio.current_time() - self.last_request_s < SPARE_SLOT_TTL_S
         self.slots = min(self.slots, self.used_slots + is_recent)
         is_short = tokens > 0 and self.tokens < tokens
         return BudgetAsk(
@@ -167,86 +171,92 @@
             max_wait_s,
         )
 
-    def note_grant(self, ask: BudgetAsk, grant: BudgetGrant, asked_s: float) -> None:
-        """Take over a grant; the lease runs from before the ask was sent."""
-        self.until_s = asked_s + grant.lease_s
+    def apply_grant(
+        self, request: BudgetAsk, grant: BudgetGrant, sent_s: float
+    ) -> None:
+        """Apply a grant; the lease starts when the budget request was sent."""
+        self.lease_expiry_s = sent_s + grant.lease_s
         self.tokens += grant.tokens
         self.slots += grant.slots
         self.fallback_until_s = -math.inf
         if grant.fallback_share > 0:
             self.fallback_share = grant.fallback_share
-        has_needed = ask.needed_tokens or ask.needed_slots
+        has_needed = request.needed_tokens or request.needed_slots
         if grant.retry_after_s > 0 and has_needed:
             now_s = trio.current_time()
             self.refused_until_s = now_s + grant.retry_after_s
-            self.quiet_until_s = now_s + min(QUIET_S, grant.retry_after_s)
-            self.refused_tokens = 0 if grant.lacks_slots else ask.needed_tokens
-            self.rate = max(MIN_RATE, grant.rate)
+            self.no_request_until_s = now_s + min(
+                MIN_REQUEST_INTERVAL_S, grant.retry_after_s
+            )
+            self.refused_tokens = 0 if grant.lacks_slots else request.needed_tokens
+            self.rate = max(MIN_RATE_TOKENS_PER_S, grant.rate)
 
-    def note_no_grant(self, ask: BudgetAsk, grant: BudgetGrant | None) -> None:
-        """Live by the fixed share until an owner may grant.
+    def start_fallback(self, request: BudgetAsk, grant: BudgetGrant | None) -> None:
+        """Use the fixed share until an owner grants budget again.
 
         Parameters
         ----------
-        ask : BudgetAsk
-            What was asked.
+        request : BudgetAsk
+            The budget request that was not granted.
         grant : BudgetGrant or None
-            The answer of one who may not grant; None where there was none.
+            Reply of a node that may not grant; None if there was no reply.
         """
         now_s = trio.current_time()
-        self.fallback_until_s = now_s + FALLBACK_S
-        self.grants_from_s = -math.inf
+        self.fallback_until_s = now_s + FALLBACK_DURATION_S
+        self.granting_from_s = -math.inf
         if grant is None:
             return
         self.fallback_share = grant.fallback_share
         if grant.retry_after_s > 0 and not grant.lacks_slots:
-            # It will be the owner soon, and keeps the turn of a request that waits
-            # only while it hears of it.
-            self.fallback_until_s = now_s + min(QUIET_S, grant.retry_after_s)
-            self.grants_from_s = now_s + grant.retry_after_s
-            self.early_tokens = ask.needed_tokens
-            self.rate = max(MIN_RATE, grant.rate)
-
-    def fall_back(self, tokens: float) -> "Charge | Lack":
-        """Charge the fixed share that each entry has while no owner answers."""
+            # This node will be the owner soon. It keeps the position of a waiting
+            # request only while it receives budget requests for it.
+            self.fallback_until_s = now_s + min(
+                MIN_REQUEST_INTERVAL_S, grant.retry_after_s
+            )
+            self.granting_from_s = now_s + grant.retry_after_s
+            self.deferred_tokens = request.needed_tokens
+            self.rate = max(MIN_RATE_TOKENS_PER_S, grant.rate)
+
+    def charge_fallback(self, tokens: float) -> "Charge | Shortfall":
+        """Charge the fixed share that each entry has while no owner responds."""
         limit, share, bucket = self.limit, self.fallback_share, self.fallback
         slots = limit.concurrent_requests
         if not self.has_slot() and self.used_slots >= max(1, int(slots * share)):
             wait_s = self.owner_wait_s(tokens)
             if math.isinf(wait_s):
-                return Lack(SLOT_RETRY_S, True, True)
-            return Lack(wait_s, True)
+                return Shortfall(SLOT_RETRY_AFTER_S, True, True)
+            return Shortfall(wait_s, True)
         if tokens:
             bucket.rate = bucket.capacity = limit.tokens_per_minute / 60 * share
             bucket.refill(trio.current_time())
             if not bucket.acquire(tokens):
-                return Lack(min(bucket.wait_s(tokens), self.owner_wait_s(tokens)))
+                return Shortfall(min(bucket.wait_s(tokens), self.owner_wait_s(tokens)))
         self.used_slots += 1
         self.slots = max(self.slots, self.used_slots)
         return Charge(self, tokens, is_fallback=True)
 
     def owner_wait_s(self, tokens: float) -> float:
-        """Return when a new owner will grant what it was asked too early for."""
-        left_s = self.grants_from_s - trio.current_time()
-        if left_s <= 0:
+        """Return the time until a new owner can grant a deferred request."""
+        remaining_s = self.granting_from_s - trio.current_time()
+        if remaining_s <= 0:
             return math.inf
-        return left_s + max(0.0, tokens - self.early_tokens) / self.rate
+        return remaining_s + max(0.0, tokens - self.deferred_tokens) / self.rate
 
 
 @dataclass(slots=True, eq=False)
 class Charge:
-    """What one request was charged, settled when it ends.
+    """Charge of one request, settled when the request ends.
 
     Attributes
     ----------
     account : Account or None
-        None where nothing is limited.
+        Account that was charged; None if the customer has no limit.
     tokens : float
         Tokens charged.
     is_fallback : bool
-        Whether it was charged to the fixed share and not to a lease.
+        Whether the fixed share was charged and not a lease.
     is_open : bool
-        Whether it is still to be settled.
+        Whether the charge has not been settled yet.
     """
 
     account: Account | None = None
@@ -255,12 +265,12 @@
     is_open: bool = True
 
     def settle(self, used_tokens: float | None = None) -> None:
-        """Correct the charge by what was used; a second call does nothing.
+        """Release the slot and adjust the charge to the tokens used; idempotent.
 
         Parameters
         ----------
         used_tokens : float, optional
-            Tokens used; by default the whole charge.
+            Tokens used; by default all that were charged.
         """
         if self.account is None or not self.is_open:
             return
@@ -269,7 +279,8 @@
         if used_tokens is None or not self.tokens:
             return
         if self.is_fallback:
-            # The owner never gave these: returned to it they would be minted.
+            # These tokens did not come from the owner: returning them to it would
+            # create additional budget.
             self.account.fallback.release(self.tokens - used_tokens)
         else:
             self.account.tokens += self.tokens - used_tokens
@@ -279,20 +290,20 @@
 
 
 def new_account(limit: Limit) -> Account:
-    """Return an account without a lease, and with its fixed share full."""
+    """Return an account without a lease and with a full fixed share."""
     now_s = trio.current_time()
     if math.isinf(limit.tokens_per_minute):
         return Account(limit, Bucket(0.0, 0.0, 0.0, now_s))
-    rate = limit.tokens_per_minute / 60 * FIRST_FALLBACK_SHARE
+    rate = limit.tokens_per_minute / 60 * INITIAL_FALLBACK_SHARE
     return Account(limit, Bucket(rate, rate, rate, now_s))
 
 
-def limit_reached(limit: Limit, lack: Lack) -> NotRun:
-    """Return the refusal of a request beyond a customer's limit."""
-    if lack.is_by_slots:
-        of = f"{limit.concurrent_requests:g} concurrent requests"
+def limit_reached(limit: Limit, shortfall: Shortfall) -> NotRun:
+    """Return the refusal of a request that exceeds a customer's limit."""
+    if shortfall.is_slot_shortfall:
+        name = f"{limit.concurrent_requests:g} concurrent requests"
     else:
-        of = f"{limit.tokens_per_minute:g} tokens per minute"
-    wait_s = min(lack.wait_s, MAX_RETRY_S)
-    wait_s = max(MIN_RETRY_S, math.ceil(wait_s * 1000) / 1000)
-    return NotRun(Reason.LIMIT_REACHED, wait_s, f"the limit of {of} is reached")
+        name = f"{limit.tokens_per_minute:g} tokens per minute"
+    wait_s = min(shortfall.wait_s, MAX_RETRY_AFTER_S)
+    wait_s = max(MIN_RETRY_AFTER_S, math.ceil(wait_s * 1000) / 1000)
+    return NotRun(Reason.LIMIT_REACHED, wait_s, f"the limit of {name} is reached")
--- a/src/rosemaryknot/request/adoption.py
+++ b/src/rosemaryknot/request/adoption.py
@@ -1,4 +1,4 @@
-"""Goes on with requests that other entries accepted and relayed."""
+"""Adoption of requests that other entries accepted and relayed."""
 
 import json
 
@@ -19,24 +19,24 @@
     read_inner,
 )
 
-__all__ = ["Adopter"]
+__all__ = ["GenerationAdopter"]
 
 
-class Adopter:
-    """Takes requests over from entries that leave or are gone.
+class GenerationAdopter:
+    """Handler that adopts requests from entries that are draining or have failed.
 
     Parameters
     ----------
     relay : ModelRelay
-        Runs generations.
+        Relay that runs generations.
     copies : StandbyCopies
-        Copies to a standby what is taken over.
+        Replicates adopted generations to a standby.
     drain : Drain
-        Counts what is taken over as in flight.
+        Counts adopted generations as in flight.
     nursery : trio.Nursery
-        Lives as long as the process.
+        Nursery that is open until the process ends.
     handlers : Handlers
-        Handlers of the agent's link.
+        Message handlers of the link to the agent.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
     async def handle_adopt(
         self, order: AdoptGeneration, link: MessageLink
     ) -> GenerationAdopted:
-        """Go on with a request that another entry relayed."""
+        """Resume a request that another entry relayed."""
         copy = read_inner(order.copy, StandbyCopy)
         if copy is None or self.drain.is_stopping:
             return GenerationAdopted(False)
         known = self.relay.table.find(copy.customer, copy.request)
         if known is not None:
             return GenerationAdopted(not isinstance(known.outcome, Running))
-        request = request_of(copy)
+        request = request_from_copy(copy)
         if request is None:
             return GenerationAdopted(False)
         generation = self.relay.prepare(request, copy.lineage, copy.tokens)
@@ -71,19 +71,19 @@
             return GenerationAdopted(False)
         generation.tell(f"standby: went on for {copy.relay}")
         self.relay.begin(generation, is_resumed=True, server=copy.server)
-        self.nursery.start_soon(self.hold, generation)
+        self.nursery.start_soon(self.track_in_flight, generation)
         if self.copies.is_on:
             self.nursery.start_soon(self.copies.protect, Copied(generation))
         return GenerationAdopted(True)
 
-    async def hold(self, generation: Generation) -> None:
+    async def track_in_flight(self, generation: Generation) -> None:
         """Count an adopted generation as in flight until it ends."""
         with self.drain:
             await generation.wait_finished()
 
 
-def request_of(copy: StandbyCopy) -> ModelRequest | None:
-    """Return the request of a copy, or None where its body is none."""
+def request_from_copy(copy: StandbyCopy) -> ModelRequest | None:
+    """Return the request in a standby copy, or None if its body is invalid."""
     try:
         body = json.loads(copy.body)
         messages = body["messages"]
--- a/src/rosemaryknot/request/arrivals.py
+++ b/src/rosemaryknot/request/arrivals.py
@@ -1,4 +1,4 @@
-"""A request of a known customer, and the note of what became of it."""
+"""Requests of known customers, and the record of their outcomes."""
 
 import random
 from dataclasses import dataclass
@@ -7,11 +7,11 @@
 
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import counter, histogram
-from rosemaryknot.request.answers import outcome_name, status_of
+from rosemaryknot.request.responses import outcome_name, status_of
 from rosemaryknot.values.outcomes import Answered, Outcome
 from rosemaryknot.version.view import ConfigurationView, Customer
 
-__all__ = ["Arrival", "new_request_id", "note_outcome"]
+__all__ = ["Arrival", "new_request_id", "record_outcome"]
 
 ID_BITS = 96
 
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A request whose customer is known.
+    """Request whose customer is known.
 
     Attributes
     ----------
     request_id : str
-        Our id of the request.
+        Request id that this system assigned.
     arrived_s : float
-        When it arrived, in trio time.
+        Time of arrival, in trio time.
     view : ConfigurationView
-        The configuration that holds for the request to its end.
+        Configuration that applies to the request until it ends.
     customer : Customer
-        Who sent it.
+        Customer that sent the request.
     """
 
     request_id: str
@@ -48,17 +48,17 @@
     Parameters
     ----------
     rng : random.Random
-        `random.SystemRandom` in a live process.
+        Source of randomness; `random.SystemRandom` in production.
 
     Returns
     -------
     request_id : str
-        Letters and digits.
+        Request id of letters and digits.
     """
     return f"r{rng.getrandbits(ID_BITS):024x}"
 
 
-def note_outcome(
+def record_outcome(
     request_id: str, customer: str, service: str, arrived_s: float, outcome: Outcome
 ) -> None:
     """Count and log the outcome of a request.
@@ -66,13 +66,13 @@
     Parameters
     ----------
     request_id : str
-        Our id of the request.
+        Request id that this system assigned.
     customer, service : str
-        Empty where not known; never what a caller wrote and nobody checked.
+        Names, or empty if unknown. Names from a request must be validated first.
     arrived_s : float
-        When it arrived, in trio time.
+        Time of arrival, in trio time.
     outcome : Outcome
-        What became of it.
+        Outcome of the request.
     """
     took_s = trio.current_time() - arrived_s
     reason = "" if isinstance(outcome, Answered) else getattr(outcome, "reason", "")
--- a/src/rosemaryknot/request/at_most_once.py
+++ b/src/rosemaryknot/request/at_most_once.py
@@ -1,7 +1,7 @@
-"""At-most-once execution on the entry: claim, send once, record what came of it.
+"""At-most-once execution at the entry: claim a request, send it once, record a result.
 
-Nothing is sent before the claim was granted, and nothing is sent twice. A claim
-whose answer got lost is given up, never used when its grant comes late.
+A request is never sent before its claim is granted, and never twice. A claim whose
+response is lost is reported as unused; a grant that arrives late is not used.
 """
 
 import math
@@ -15,12 +15,12 @@
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import counter
 from rosemaryknot.process.safeguards import Safeguards
-from rosemaryknot.request.answers import outcome_name
 from rosemaryknot.request.claim_reports import (
-    AgentCaller,
+    AgentClient,
     ArrivalNumbers,
-    Reports,
+    ResultReporter,
 )
+from rosemaryknot.request.responses import outcome_name
 from rosemaryknot.values.claims import (
     ClaimAnswered,
     ClaimGranted,
@@ -44,11 +44,11 @@
 )
 from rosemaryknot.values.requests import NotSent, PlainRequest, SendResult
 
-__all__ = ["AgentCaller", "AtMostOnce", "ClaimPolicy"]
+__all__ = ["AgentClient", "AtMostOnce", "ClaimPolicy"]
 
 CALL_TIMEOUT_S = 3.0
 RETRY_AFTER_S = 1.0
-POLL_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 log = logger("claims")
 OUTCOMES = counter("at_most_once_total", "At-most-once requests by outcome.")
@@ -56,14 +56,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimPolicy:
-    """Bounds of a service's at-most-once requests.
+    """Time limits of a service's at-most-once requests.
 
     Attributes
     ----------
     timeout_s : float
-        Bound on the run at the backend server.
+        Maximum duration of the execution at the backend server, in seconds.
     horizon_s : float
-        How long ids and answers are kept.
+        Retention period of ids and responses, in seconds.
     """
 
     timeout_s: float = 60.0
@@ -71,21 +71,21 @@
 
 
 class AtMostOnce:
-    """Run requests of an entry at most once.
+    """Executor of an entry's at-most-once requests.
 
     Parameters
     ----------
-    agent : AgentCaller
+    agent : AgentClient
         The entry's link to its agent.
     policy_of : callable
         Returns the `ClaimPolicy` of a service.
     safeguards : Safeguards, optional
-        Tests may turn safeguards off.
+        Safeguards, which tests may turn off.
     """
 
     def __init__(
         self,
-        agent: AgentCaller,
+        agent: AgentClient,
         policy_of: Callable[[str], ClaimPolicy] = lambda service: ClaimPolicy(),
         safeguards: Safeguards | None = None,
     ) -> None:
@@ -93,86 +93,88 @@
         self.policy_of = policy_of
         self.safeguards = safeguards or Safeguards()
         self.numbers = ArrivalNumbers()
-        self.reports = Reports(agent)
+        self.reports = ResultReporter(agent)
 
     async def run_reports(self) -> None:
-        """Send results and follow the shard map's number, until cancelled."""
+        """Send results and poll the shard map's number, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.reports.run)
-            nursery.start_soon(self.follow_map)
+            nursery.start_soon(self.poll_map_number)
 
-    async def follow_map(self) -> None:
-        """Ask the agent for the number of its shard map, again and again."""
+    async def poll_map_number(self) -> None:
+        """Poll the agent for the number of its shard map."""
         while True:
-            reply = await self.agent.call(MapNumber(self.numbers.newest), POLL_S)
+            reply = await self.agent.call(
+                MapNumber(self.numbers.newest), POLL_INTERVAL_S
+            )
             if isinstance(reply, MapNumber):
-                self.numbers.learn(reply.number)
-            await trio.sleep(POLL_S)
+                self.numbers.record(reply.number)
+            await trio.sleep(POLL_INTERVAL_S)
 
     async def run(
         self,
         request: PlainRequest,
         send: Callable[[], Awaitable[SendResult]],
     ) -> Outcome:
-        """Claim the request, send it once if granted, and record the result.
+        """Claim the request, send it once if the claim is granted, record the result.
 
         Parameters
         ----------
         request : PlainRequest
-            A request with a key.
+            Request with an idempotency key.
         send : callable
-            Sends it to a backend server, once. It may try another server only as
-            long as no byte has left.
+            Sends the request to a backend server once. It may try another server only
+            while no byte has been sent.
 
         Returns
         -------
         outcome : Outcome
-            What the caller is told.
+            Outcome that the caller receives.
         """
         if trio.current_time() >= request.deadline_s:
             return await self.refuse(request, Reason.DEADLINE_TOO_SHORT, RETRY_AFTER_S)
-        claim = self.claim_of(request)
-        reply = await self.ask(request, claim)
+        claim = self.new_claim(request)
+        reply = await self.request_grant(request, claim)
         if isinstance(reply, ClaimGranted):
             outcome = await self.send_granted(request, claim, send)
         else:
-            outcome = self.outcome_of(request, claim, reply)
-        outcome = with_advice(request, outcome)
-        self.note(request, outcome)
+            outcome = self.ungranted_outcome(request, claim, reply)
+        outcome = with_closed_key_detail(request, outcome)
+        self.record_outcome(request, outcome)
         return outcome
 
     async def refuse(
         self, request: PlainRequest, reason: Reason, retry_after_s: float
     ) -> Outcome:
-        """Refuse a request that was not claimed, so that "not run" stays true.
+        """Refuse a request that was not claimed, and ensure that "not run" stays true.
 
-        An earlier attempt may still wait at another entry, and run after its caller
-        was told that nothing ran. So every attempt up to this one is closed first.
-        A declared attempt 1 has no earlier one: its refusal costs no call.
+        An earlier attempt may still wait at another entry, and could run after the
+        caller has received "not run". Every attempt up to this one is therefore closed
+        first. A declared attempt 1 has no earlier one, so its refusal needs no call.
 
         Parameters
         ----------
         request : PlainRequest
-            The request.
+            Request to refuse.
         reason : Reason
-            Why it is refused.
+            Reason of the refusal.
         retry_after_s : float
-            When the caller may come back.
+            Time after which the caller may retry, in seconds.
 
         Returns
         -------
         outcome : Outcome
-            `NotRun`, or what is known of the id where it cannot be closed.
+            `NotRun`, or the known state of the id if its attempts cannot be closed.
         """
         outcome = await self.closed_outcome(request, reason, retry_after_s)
-        outcome = with_advice(request, outcome)
-        self.note(request, outcome)
+        outcome = with_closed_key_detail(request, outcome)
+        self.record_outcome(request, outcome)
         return outcome
 
     async def closed_outcome(
         self, request: PlainRequest, reason: Reason, retry_after_s: float
     ) -> Outcome:
-        """Close the request's attempts and return what may be said then."""
+        """Close the request's attempts and return the resulting outcome."""
         if request.attempt == 1 or not self.safeguards.close_attempts:
             return NotRun(reason, retry_after_s)
         message = CloseRequest(
@@ -191,8 +193,8 @@
             return answered(reply)
         return refused_outcome(reply.outcome, reply.reason, reply.retry_after_s, "")
 
-    def claim_of(self, request: PlainRequest) -> ClaimRequest:
-        """Return the claim of a request, under a name of its own."""
+    def new_claim(self, request: PlainRequest) -> ClaimRequest:
+        """Return a claim of a request, with a new random name."""
         policy = self.policy_of(request.service)
         return ClaimRequest(
             request.customer,
@@ -206,15 +208,15 @@
             policy.horizon_s,
         )
 
-    async def ask(
+    async def request_grant(
         self, request: PlainRequest, claim: ClaimRequest
     ) -> Message | CallFailed:
-        """Ask the agent for the grant; a caller that leaves gives the claim up."""
+        """Request the grant from the agent; report the claim unused if cancelled."""
         timeout_s = min(CALL_TIMEOUT_S, request.deadline_s - trio.current_time())
         try:
             return await self.agent.call(claim, timeout_s)
         except trio.Cancelled:
-            self.give_up(claim, close=False)
+            self.report_unused(claim, close=False)
             raise
 
     async def send_granted(
@@ -223,25 +225,25 @@
         claim: ClaimRequest,
         send: Callable[[], Awaitable[SendResult]],
     ) -> Outcome:
-        """Use the grant, and record what came of it."""
-        result = self.result_of(claim, Unknown(Reason.ANSWER_LOST))
+        """Send a request whose claim was granted, and record the result."""
+        result = self.new_result(claim, Unknown(Reason.ANSWER_LOST))
         try:
             sent = await send()
-            result = self.result_of(claim, sent)
+            result = self.new_result(claim, sent)
         except BaseException:
-            # Cancelled or failed on the way: a byte may have left.
+            # Cancelled or failed during the send: a byte may have been sent.
             self.reports.add(result)
             raise
         if isinstance(sent, NotSent):
-            # The open grant holds back every other attempt until the report closes
-            # this one, so "not run" is true even if the report gets lost.
+            # The open grant blocks every other attempt until the report closes this
+            # one, so "not run" is true even if the report is lost.
             await self.reports.send_or_add(result)
             return NotRun(sent.reason, RETRY_AFTER_S)
         self.reports.add(result)
         return sent
 
-    def result_of(self, claim: ClaimRequest, sent: SendResult) -> ResultRecord:
-        """Return the report of what came of a claim."""
+    def new_result(self, claim: ClaimRequest, sent: SendResult) -> ResultRecord:
+        """Return the result record of a claim."""
         result = ResultRecord(
             claim.customer,
             claim.service,
@@ -262,32 +264,32 @@
             result.reason = sent.reason
         return result
 
-    def give_up(self, claim: ClaimRequest, close: bool) -> None:
-        """Report that a claim is never used, whether it was granted or not."""
-        result = self.result_of(claim, NotSent(Reason.OWNER_UNREACHABLE))
+    def report_unused(self, claim: ClaimRequest, close: bool) -> None:
+        """Report that a claim will never be used, whether it was granted or not."""
+        result = self.new_result(claim, NotSent(Reason.OWNER_UNREACHABLE))
         result.close = close and self.safeguards.close_attempts
         self.reports.add(result)
 
-    def outcome_of(
+    def ungranted_outcome(
         self, request: PlainRequest, claim: ClaimRequest, reply: Message | CallFailed
     ) -> Outcome:
-        """Return what the caller is told where the claim was not granted."""
+        """Return the outcome of a request whose claim was not granted."""
         is_first = claim.attempt == 1
         if isinstance(reply, ClaimAnswered):
             return answered(reply)
         if isinstance(reply, ClaimRefused):
             if reply.maybe_granted:
-                self.give_up(claim, close=is_first)
+                self.report_unused(claim, close=is_first)
             return refused_outcome(
                 reply.outcome, reply.reason, reply.retry_after_s, reply.detail
             )
         if not isinstance(reply, CallFailed) or reply.maybe_handled:
-            self.give_up(claim, close=is_first)
+            self.report_unused(claim, close=is_first)
         if is_first:
             return NotRun(Reason.OWNER_UNREACHABLE, RETRY_AFTER_S)
         return Unknown(Reason.OWNER_UNREACHABLE)
 
-    def note(self, request: PlainRequest, outcome: Outcome) -> None:
+    def record_outcome(self, request: PlainRequest, outcome: Outcome) -> None:
         """Count and log an outcome."""
         name = outcome_name(outcome)
         OUTCOMES.add(outcome=name, service=request.service)
@@ -296,7 +298,7 @@
 
 
 def answered(reply: ClaimAnswered | CloseReply) -> Answered:
-    """Return the kept answer of a reply."""
+    """Return the stored response that a reply carries."""
     headers = [(name, value) for name, value in reply.headers]
     return Answered(reply.status, headers, reply.body)
 
@@ -304,7 +306,7 @@
 def refused_outcome(
     outcome: str, reason: str, retry_after_s: float, detail: str
 ) -> Outcome:
-    """Return the outcome that a refusal stands for."""
+    """Return the outcome that a refusal represents."""
     if outcome == RefusedKind.RUNNING:
         return Running(retry_after_s)
     if outcome == RefusedKind.NOT_RUN:
@@ -312,12 +314,13 @@
     return Unknown(Reason(reason), detail)
 
 
-def with_advice(request: PlainRequest, outcome: Outcome) -> Outcome:
-    """Return an outcome that says so where the request's key is closed for good.
+def with_closed_key_detail(request: PlainRequest, outcome: Outcome) -> Outcome:
+    """Add a detail to an outcome if the request's key is closed permanently.
 
-    A refused request without an attempt number may be any of its key's sends, so all
-    of them are closed with it. `Retry-After` still says when to come back; the detail
-    says how, since the same key would be refused for ever.
+    A refused request without an attempt number may be any of the sends of its key, so
+    all of them are closed with it. `Retry-After` still gives the delay before a retry;
+    the detail says that it needs a new key, as the same key would be refused
+    indefinitely.
     """
     is_closed = isinstance(outcome, NotRun) and outcome.reason != Reason.BODY_DIFFERS
     if request.attempt or not is_closed:
--- a/src/rosemaryknot/request/attempts.py
+++ b/src/rosemaryknot/request/attempts.py
@@ -26,13 +26,13 @@
 
     Attributes
     ----------
-    resume_here : bool
+    resume_at_server : bool
         Whether the server answered a new connection and can go on with it.
     detail : str
         What it said.
     """
 
-    resume_here: bool
+    resume_at_server: bool
     detail: str
 
 
--- a/src/rosemaryknot/request/authentication.py
+++ b/src/rosemaryknot/request/authentication.py
@@ -1,4 +1,4 @@
-"""Who sends a request."""
+"""Authentication of customers by API key."""
 
 from rosemaryknot.values.outcomes import NotRun, Reason
 from rosemaryknot.version.view import ConfigurationView, Customer
@@ -6,29 +6,31 @@
 __all__ = ["authenticate"]
 
 SCHEME = "bearer"
-NO_VIEW_RETRY_S = 2.0
+NO_CONFIGURATION_RETRY_S = 2.0
 
 
 def authenticate(
     authorization: str | None, view: ConfigurationView | None
 ) -> Customer | NotRun:
-    """Return the customer whose API key came with a request.
+    """Return the customer to whom the API key of a request belongs.
 
     Parameters
     ----------
     authorization : str or None
         Value of the ``Authorization`` header.
     view : ConfigurationView or None
-        Configuration in force.
+        Current configuration; None if none is known yet.
 
     Returns
     -------
     customer : Customer or NotRun
-        The customer, or why the request is refused.
+        The customer, or the reason for the refusal.
     """
     if view is None:
         return NotRun(
-            Reason.NO_CONFIGURATION, NO_VIEW_RETRY_S, "no configuration is known yet"
+            Reason.NO_CONFIGURATION,
+            NO_CONFIGURATION_RETRY_S,
+            "no configuration is known yet",
         )
     scheme, _, api_key = (authorization or "").partition(" ")
     if scheme.lower() != SCHEME or not api_key.strip():
--- a/src/rosemaryknot/request/budget_queue.py
+++ b/src/rosemaryknot/request/budget_queue.py
@@ -1,4 +1,4 @@
-"""Requests of one account that wait for tokens, first come first served."""
+"""Queue of one account's requests that wait for tokens, first come, first served."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 from rosemaryknot.process.limits.budget import BURST_S
 from rosemaryknot.process.metrics import gauge
 
-__all__ = ["MAX_WAITING", "BudgetQueue", "Lack", "Waiter"]
+__all__ = ["MAX_WAITING", "BudgetQueue", "Shortfall", "Waiter"]
 
 MAX_WAITING = 64
 
@@ -16,119 +16,121 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Lack:
-    """What a request lacks.
+class Shortfall:
+    """Tokens or slots that a request lacks.
 
     Attributes
     ----------
     wait_s : float
-        When it will be there, in seconds.
-    is_by_slots : bool
-        Whether slots are missing.
-    is_guess : bool
-        Whether nobody can tell the time, as when a slot must be given back.
+        Time until they are available, in seconds.
+    is_slot_shortfall : bool
+        Whether slots are missing, and not tokens.
+    is_estimate : bool
+        Whether ``wait_s`` is only an estimate, for example because another request
+        must first release its slot.
     """
 
     wait_s: float
-    is_by_slots: bool = False
-    is_guess: bool = False
+    is_slot_shortfall: bool = False
+    is_estimate: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A request that waits.
+    """Request that waits for tokens.
 
     Attributes
     ----------
     tokens : float
-        Tokens that it may use.
-    until_s : float
-        How long it may wait, in trio time.
+        Maximum number of tokens of the request.
+    deadline_s : float
+        End of its maximum wait, in trio time.
     is_next : trio.Event
-        Set when it is at the head, or is refused.
-    lack : Lack or None
-        Why it may not wait on.
+        Set when the request becomes the head of the queue or is refused.
+    shortfall : Shortfall or None
+        Reason of the refusal.
     """
 
     tokens: float
-    until_s: float
+    deadline_s: float
     is_next: trio.Event = field(default_factory=trio.Event)
-    lack: Lack | None = None
+    shortfall: Shortfall | None = None
 
 
 class BudgetQueue:
     """Waiting requests of one account, in the order of their arrival.
 
-    Only the head asks the owner. Nothing that came later is charged before it: a
-    customer's small requests would else take what its large one waits for.
+    Budget is requested from the owner for the head only. No later request is charged
+    before it, as a customer's small requests would otherwise use the tokens for which
+    its large request waits.
 
     Attributes
     ----------
     waiters : deque of Waiter
-        The head first.
-    due_s : float
-        When the head is due, in trio time.
+        Waiting requests, the head first.
+    head_due_s : float
+        Time at which the head can be charged, in trio time.
     """
 
-    __slots__ = ("waiters", "due_s")
+    __slots__ = ("waiters", "head_due_s")
 
     def __init__(self) -> None:
         self.waiters: deque[Waiter] = deque()
-        self.due_s = 0.0
+        self.head_due_s = 0.0
 
     def __len__(self) -> int:
         return len(self.waiters)
 
-    def lack_behind(self, tokens: float, rate: float) -> Lack:
-        """Return when a request that comes now would be due.
+    def shortfall_behind(self, tokens: float, rate: float) -> Shortfall:
+        """Return the shortfall of a request that arrives now.
 
         Parameters
         ----------
         tokens : float
-            Tokens that it may use.
+            Maximum number of tokens of the request.
         rate : float
-            Tokens a second of the zone.
+            Tokens per second that the zone gets.
         """
         ahead = sum(waiter.tokens for waiter in self.waiters)
-        return Lack(self.wait_s(tokens, ahead, rate))
+        return Shortfall(self.wait_s(tokens, ahead, rate))
 
     def wait_s(self, tokens: float, ahead: float, rate: float) -> float:
-        """Return the time until a request is due that has others before it."""
+        """Return the time until a request with others ahead of it can be charged."""
         burst = rate * BURST_S
         first = min(self.waiters[0].tokens, burst)
         missing = ahead + min(tokens, burst) - first
-        return max(0.0, self.due_s - trio.current_time()) + missing / rate
+        return max(0.0, self.head_due_s - trio.current_time()) + missing / rate
 
-    def join(self, tokens: float, until_s: float) -> Waiter:
-        """Let a request wait; it leaves by `leave`."""
-        waiter = Waiter(tokens, until_s)
+    def enqueue(self, tokens: float, deadline_s: float) -> Waiter:
+        """Append a request, which must be removed with `remove`."""
+        waiter = Waiter(tokens, deadline_s)
         self.waiters.append(waiter)
         waiting_now.add(1)
-        self.call_next()
+        self.wake_head()
         return waiter
 
-    def leave(self, waiter: Waiter) -> None:
-        """Take a request out, if it still stands here."""
+    def remove(self, waiter: Waiter) -> None:
+        """Remove a request if it is still queued."""
         if waiter in self.waiters:
             self.waiters.remove(waiter)
             waiting_now.add(-1)
-            self.call_next()
+            self.wake_head()
 
-    def call_next(self) -> None:
-        """Wake the request at the head."""
+    def wake_head(self) -> None:
+        """Wake the request at the head of the queue."""
         if self.waiters:
             self.waiters[0].is_next.set()
 
-    def note_due(self, wait_s: float, rate: float) -> None:
-        """Note when the head is due, and refuse those that cannot wait as long."""
+    def update_due(self, wait_s: float, rate: float) -> None:
+        """Record when the head can be charged; refuse requests that cannot wait."""
         now_s = trio.current_time()
-        self.due_s = now_s + wait_s
+        self.head_due_s = now_s + wait_s
         ahead = 0.0
         for waiter in list(self.waiters):
             due_in_s = self.wait_s(waiter.tokens, ahead, rate)
-            if ahead and now_s + due_in_s > waiter.until_s:
-                waiter.lack = Lack(due_in_s)
-                self.leave(waiter)
+            if ahead and now_s + due_in_s > waiter.deadline_s:
+                waiter.shortfall = Shortfall(due_in_s)
+                self.remove(waiter)
                 waiter.is_next.set()
             else:
                 ahead += waiter.tokens
--- a/src/rosemaryknot/request/claim_reports.py
+++ b/src/rosemaryknot/request/claim_reports.py
@@ -1,4 +1,4 @@
-"""What an entry tells its agent about claims, and learns from it, in the background."""
+"""Background exchange of an entry with its agent: claim results and map numbers."""
 
 from collections import deque
 from typing import Protocol
@@ -14,119 +14,119 @@
 )
 from rosemaryknot.values.messages import Message
 
-__all__ = ["AgentCaller", "ArrivalNumbers", "Reports"]
+__all__ = ["AgentClient", "ArrivalNumbers", "ResultReporter"]
 
 CALL_TIMEOUT_S = 3.0
-REPORT_WAIT_S = 1.0
-REPORT_RETRY_S = 1.0
+REPORT_TIMEOUT_S = 1.0
+REPORT_RETRY_DELAY_S = 1.0
 MAX_REPORTS = 20_000
-SENDERS = 32
-MAX_BYTES = 32 * 1024 * 1024
-EMPTY_POLL_S = 0.02
-# A new map number counts for requests that arrive this long after it was learned. A
-# process that was paused learns the number and reads old requests from its sockets
-# at the same moment; by then it has read them.
+SENDER_TASKS = 32
+MAX_WAITING_BYTES = 32 * 1024 * 1024
+EMPTY_POLL_INTERVAL_S = 0.02
+# A new map number applies to requests that arrive this long after it was received. A
+# process that was suspended receives the number and reads old requests from its sockets
+# at the same moment; after this delay it has read them.
 ADOPTION_DELAY_S = 1.0
 MAX_NUMBERS = 64
 
 REPORTS = gauge("at_most_once_reports", "Results that the agent has not taken yet.")
 
 
-class AgentCaller(Protocol):
-    """The entry's link to its agent."""
+class AgentClient(Protocol):
+    """Interface of the entry's link to its agent."""
 
     async def call(self, message: Message, timeout_s: float) -> Message | CallFailed:
-        """Send a message to the agent and wait for its answer."""
+        """Send a message to the agent and wait for the reply."""
 
 
 class ArrivalNumbers:
-    """Map numbers by the time from which they count."""
+    """Numbers of the shard map, by the time from which they apply."""
 
     def __init__(self) -> None:
         self.numbers: deque[tuple[float, int]] = deque([(0.0, 0)], MAX_NUMBERS)
 
     @property
     def newest(self) -> int:
-        """The newest number, whether it counts yet or not."""
+        """The newest number, whether it applies already or not."""
         return self.numbers[-1][1]
 
-    def learn(self, number: int) -> None:
-        """Take in a number that the agent told."""
+    def record(self, number: int) -> None:
+        """Record a number that the agent sent."""
         if number > self.newest:
             self.numbers.append((trio.current_time() + ADOPTION_DELAY_S, number))
 
     def at(self, arrived_s: float) -> int:
-        """Return the number that counted when a request arrived."""
+        """Return the number that applied when a request arrived."""
         for since_s, number in reversed(self.numbers):
             if since_s <= arrived_s:
                 return number
         return 0
 
 
-class Reports:
-    """Results that wait until the agent has taken them.
+class ResultReporter:
+    """Queue of results that are sent to the agent until it has stored them.
 
-    Losing one is safe: an open grant keeps the id from running again. It costs the
-    caller's next attempt, which is then told "unknown".
+    The loss of a result is safe, since the open grant prevents the id from running
+    again. The caller's next attempt then receives "unknown", however.
 
     Parameters
     ----------
-    agent : AgentCaller
+    agent : AgentClient
         The entry's link to its agent.
     """
 
-    def __init__(self, agent: AgentCaller) -> None:
+    def __init__(self, agent: AgentClient) -> None:
         self.agent = agent
         self.waiting: deque[ResultRecord] = deque()
         self.waiting_bytes = 0
-        self.idle = trio.lowlevel.ParkingLot()
+        self.not_empty = trio.lowlevel.ParkingLot()
         self.sending = 0
 
     @property
     def is_empty(self) -> bool:
-        """Whether the agent has taken every result."""
+        """Whether the agent has stored every result."""
         return not self.waiting and not self.sending
 
     async def wait_empty(self, timeout_s: float) -> bool:
-        """Wait until the agent has taken every result, before a planned stop.
+        """Wait until the agent has stored every result, in a graceful shutdown.
 
         Parameters
         ----------
         timeout_s : float
-            Bound on the wait, in seconds.
+            Maximum wait, in seconds.
 
         Returns
         -------
         is_empty : bool
-            False where results are lost; their ids will answer "unknown".
+            False if results are lost; later attempts of their ids receive "unknown".
         """
         with trio.move_on_after(timeout_s):
             while not self.is_empty:
-                await trio.sleep(EMPTY_POLL_S)
+                await trio.sleep(EMPTY_POLL_INTERVAL_S)
         return self.is_empty
 
     def add(self, result: ResultRecord) -> None:
-        """Let a result be sent in the background."""
+        """Queue a result to be sent in the background."""
         size = len(result.body)
-        if size > MAX_KEPT_BODY_BYTES or self.waiting_bytes + size > MAX_BYTES:
+        if size > MAX_KEPT_BODY_BYTES or self.waiting_bytes + size > MAX_WAITING_BYTES:
             result.body = b""
             result.is_whole = False
         if len(self.waiting) >= MAX_REPORTS:
-            self.take()
+            self.pop_oldest()
         self.waiting.append(result)
         self.waiting_bytes += len(result.body)
         REPORTS.set(len(self.waiting))
-        self.idle.unpark()
+        self.not_empty.unpark()
 
-    def take(self) -> ResultRecord:
-        """Take the oldest result out."""
+    def pop_oldest(self) -> ResultRecord:
+        """Remove and return the oldest result."""
         result = self.waiting.popleft()
         self.waiting_bytes -= len(result.body)
         REPORTS.set(len(self.waiting))
         return result
 
     async def send(self, result: ResultRecord, timeout_s: float) -> bool:
-        """Send a result; False where the agent did not take it."""
+        """Send a result; return False if the agent did not store it."""
         self.sending += 1
         try:
             reply = await self.agent.call(result, timeout_s)
@@ -135,30 +135,30 @@
         return isinstance(reply, ResultStored) and reply.stored
 
     async def send_or_add(self, result: ResultRecord) -> None:
-        """Send a result now, or else in the background."""
+        """Send a result now, or in the background if this fails."""
         is_sent = False
         try:
-            is_sent = await self.send(result, REPORT_WAIT_S)
+            is_sent = await self.send(result, REPORT_TIMEOUT_S)
         finally:
             if not is_sent:
                 self.add(result)
 
     async def run(self) -> None:
-        """Send what waits until cancelled.
+        """Send queued results until cancelled.
 
-        Several at once: results for an owner that does not answer must not hold up
-        those for the others.
+        Several tasks send concurrently, so that results for an owner that does not
+        respond do not delay those for other owners.
         """
         async with trio.open_nursery() as nursery:
-            for _ in range(SENDERS):
+            for _ in range(SENDER_TASKS):
                 nursery.start_soon(self.run_sender)
 
     async def run_sender(self) -> None:
-        """Send one result after the other."""
+        """Send queued results one after the other."""
         while True:
             while not self.waiting:
-                await self.idle.park()
-            result = self.take()
+                await self.not_empty.park()
+            result = self.pop_oldest()
             if not await self.send(result, CALL_TIMEOUT_S):
                 self.add(result)
-                await trio.sleep(REPORT_RETRY_S)
+                await trio.sleep(REPORT_RETRY_DELAY_S)
--- a/src/rosemaryknot/request/engine_queue.py
+++ b/src/rosemaryknot/request/engine_queue.py
@@ -5,80 +5,84 @@
 import trio
 
 from rosemaryknot.process.server_load import ServerLoad
-from rosemaryknot.request.service_queue import Place, ServiceQueue
+from rosemaryknot.request.service_queue import EnginePermit, ServiceQueue
 from rosemaryknot.values.outcomes import NotRun
 
 __all__ = ["EngineQueue", "engine_capacity", "fair_priority"]
 
-RECHECK_S = 0.1
-MAX_RANK = 8
+RECHECK_INTERVAL_S = 0.1
+MAX_USAGE_LEVEL = 8
+# Slots that are assumed of an engine without a load report.
 DEFAULT_SLOTS = 32
-LEAST_SHARE = 1 / 8
+# See `engine_capacity`.
+MIN_CAPACITY_SHARE = 1 / 8
 
 
-def fair_priority(priority: int, rank: int) -> int:
+def fair_priority(priority: int, usage_level: int) -> int:
     """Return the engine priority of a customer's next request.
 
-    Engines queue and pause by priority. The more requests a customer has there, the
-    later the next one comes, so that a flood which fills all engines makes only
-    itself wait.
+    Engines order their queues and preempt requests by priority. The more requests a
+    customer has at the engines, the lower the priority of the next one, so that a
+    customer that fills all engines delays only its own requests.
 
     Parameters
     ----------
     priority : int
-        0 for a short answer, 1 for a long one.
-    rank : int
-        From the request's `Place`.
+        0 for a short response, 1 for a long one.
+    usage_level : int
+        Usage level of the request's `EnginePermit`.
 
     Returns
     -------
     priority : int
-        Lower runs first.
+        Engine priority; lower values run first.
 
     Examples
     --------
-    >>> [fair_priority(0, rank) for rank in (0, 1, 2)], fair_priority(1, 0)
+    >>> [fair_priority(0, level) for level in (0, 1, 2)], fair_priority(1, 0)
     ([0, 2, 4], 1)
     """
-    return priority + 2 * min(MAX_RANK, rank)
+    return priority + 2 * min(MAX_USAGE_LEVEL, usage_level)
 
 
 def engine_capacity(loads: Iterable[ServerLoad]) -> float:
-    """Return how many requests this entry may have at some engines.
+    """Return the number of requests that this entry may have at some engines.
 
     Parameters
     ----------
     loads : iterable of ServerLoad
-        What is known of each engine.
+        Known load of each engine.
 
     Returns
     -------
     capacity : float
-        The slots that the other entries leave, but at least a share of all: an entry
-        that came later would otherwise find every slot taken, and refilled before
-        a report shows it free.
+        The slots that other entries do not use, but at least `MIN_CAPACITY_SHARE` of
+        all slots. Without this minimum, an entry that starts later would find every
+        slot in use, and each freed slot acquired again before a load report shows it
+        as free.
     """
-    slots = left = 0
+    slots = free = 0
     for load in loads:
         own = load.report.slots if load.report else DEFAULT_SLOTS
         others = max(0.0, load.current_requests() - load.in_flight)
         slots += own
-        left += max(0.0, own - others)
-    return max(left, slots * LEAST_SHARE)
+        free += max(0.0, own - others)
+    return max(free, slots * MIN_CAPACITY_SHARE)
 
 
 class EngineQueue:
-    """Bounds what this entry has at the engines, and queues the rest fairly.
+    """Limit on this entry's requests at the engines, with fair queues for the rest.
 
-    An engine queues too, but without knowing whose request it is: what this entry
-    sends beyond the engines' slots would wait there in the order of its arrival.
+    Engines queue requests too, but do not know the customer: requests sent beyond the
+    engines' slots would wait there in the order of their arrival.
 
     Parameters
     ----------
     capacity : callable
-        Returns how many requests of a service this entry may have at the engines.
+        Returns the number of requests of a service that this entry may have at the
+        engines.
     is_stopping : callable
-        Tells whether the process stops.
+        Returns whether the process is shutting down.
 
     Attributes
     ----------
@@ -103,42 +107,45 @@
             self.services[service] = queue
         return queue
 
-    async def enter(
+    async def acquire(
         self,
         customer: str,
         service: str,
         cost: float,
         is_short: bool,
         deadline_s: float,
-    ) -> Place | NotRun:
-        """Wait for a place at the engines.
+    ) -> EnginePermit | NotRun:
+        """Wait for a permit to send a request to an engine.
 
         Parameters
         ----------
         customer, service : str
-            Whose request it is, and for which service.
+            Customer that sent the request, and the requested service.
         cost : float
-            Tokens that it may take.
+            Maximum number of tokens of the request.
         is_short : bool
-            Whether its answer is short; those of one customer go first.
+            Whether its response is short; within one customer's requests, those with
+            short responses start first.
         deadline_s : float
-            When the caller gives it up, in trio time.
+            Deadline of the request, in trio time.
 
         Returns
         -------
-        place : Place or NotRun
-            The place, to be left; or the refusal with when to come back.
+        permit : EnginePermit or NotRun
+            The permit, which the caller must release; or the refusal with the time
+            after which to retry.
         """
-        return await self.queue(service).enter(customer, cost, is_short, deadline_s)
+        return await self.queue(service).acquire(customer, cost, is_short, deadline_s)
 
     async def run(self) -> None:
-        """Look for room that others made, until cancelled.
+        """Start waiting requests as other entries free capacity, until cancelled.
 
-        What other entries have at the engines is known by load reports only, and
-        nobody tells when one of theirs ends. When the process stops, what waits has
-        not been accepted: its callers are told at once and go elsewhere.
+        The requests of other entries at the engines are known from load reports only,
+        and no message announces the end of one of them, so the capacity is checked
+        periodically. When the process shuts down, waiting requests have not been
+        accepted yet: they are refused immediately so that callers can retry elsewhere.
         """
         while True:
-            await trio.sleep(RECHECK_S)
+            await trio.sleep(RECHECK_INTERVAL_S)
             for queue in self.services.values():
-                queue.give_up() if self.is_stopping() else queue.start_waiting()
+                queue.refuse_all() if self.is_stopping() else queue.start_waiting()
--- a/src/rosemaryknot/request/gateway.py
+++ b/src/rosemaryknot/request/gateway.py
@@ -8,7 +8,6 @@
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import counter, histogram
 from rosemaryknot.process.server_state import ServerState
-from rosemaryknot.request.durations import Durations
 from rosemaryknot.request.gateway_attempt import Attempt
 from rosemaryknot.request.gateway_choice import choose_server, refuse_overload
 from rosemaryknot.request.gateway_context import (
@@ -22,6 +21,7 @@
 )
 from rosemaryknot.request.gateway_placement import Candidate
 from rosemaryknot.request.gateway_request_admission import RequestAdmission
+from rosemaryknot.request.response_durations import ResponseDurations
 from rosemaryknot.values.gateway import GatewayRequest
 from rosemaryknot.values.gateway_answers import (
     Broken,
@@ -59,7 +59,7 @@
 
     Attributes
     ----------
-    durations : Durations
+    durations : ResponseDurations
         Recent durations of responses.
     entry : RequestAdmission
         Admission of requests.
@@ -69,7 +69,7 @@
 
     def __init__(self, components: GatewayComponents) -> None:
         self.components = components
-        self.durations = Durations()
+        self.durations = ResponseDurations()
         self.entry = RequestAdmission(components, self.durations)
         self.running: dict[Reply, RequestContext] = {}
 
@@ -301,7 +301,7 @@
         if is_whole:
             tokens = output_tokens(context.request)
             now_s = trio.current_time()
-            self.durations.note(context.route.name, took_s, tokens, now_s)
+            self.durations.record(context.route.name, took_s, tokens, now_s)
         REQUESTS.add(outcome=type(outcome).__name__)
         RESPONSE_TIME.observe(took_s)
         log.info(
--- a/src/rosemaryknot/request/gateway_request_admission.py
+++ b/src/rosemaryknot/request/gateway_request_admission.py
@@ -6,7 +6,6 @@
 
 from rosemaryknot.connection.gateway_caller import Reply
 from rosemaryknot.process.logs import logger
-from rosemaryknot.request.durations import Durations
 from rosemaryknot.request.gateway_context import (
     MIN_RETRY_AFTER_S,
     UNAVAILABLE,
@@ -15,11 +14,12 @@
     output_tokens,
     refusal,
 )
-from rosemaryknot.request.stop_admission import (
-    STOP_ADMISSIONS,
-    RefusedInStop,
-    StopInput,
-    TakenInStop,
+from rosemaryknot.request.response_durations import ResponseDurations
+from rosemaryknot.request.shutdown_admission import (
+    SHUTDOWN_ADMISSION_RULES,
+    AdmittedInShutdown,
+    RefusedInShutdown,
+    ShutdownInput,
 )
 from rosemaryknot.values.gateway import (
     CustomerLimit,
@@ -82,20 +82,22 @@
     ----------
     components : GatewayComponents
         Components of the gateway.
-    durations : Durations
+    durations : ResponseDurations
         Recent durations of responses.
 
     Attributes
     ----------
     decide_during_shutdown : callable
         Rule for requests that are read during a graceful shutdown; one of
-        `STOP_ADMISSIONS`.
+        `SHUTDOWN_ADMISSION_RULES`.
     """
 
-    def __init__(self, components: GatewayComponents, durations: Durations) -> None:
+    def __init__(
+        self, components: GatewayComponents, durations: ResponseDurations
+    ) -> None:
         self.components = components
         self.durations = durations
-        self.decide_during_shutdown = STOP_ADMISSIONS[SHUTDOWN_ADMISSION_RULE]
+        self.decide_during_shutdown = SHUTDOWN_ADMISSION_RULES[SHUTDOWN_ADMISSION_RULE]
 
     def admit(self, request: GatewayRequest, reply: Reply) -> RequestContext | Refusal:
         """Return the context of an admitted request, or its refusal."""
@@ -109,7 +111,7 @@
             inputs = self.shutdown_input(stop, resolved, request)
             outcome = self.decide_during_shutdown(inputs)
             self.log_shutdown_decision(inputs, outcome, resolved.route, request)
-            if isinstance(outcome, RefusedInStop):
+            if isinstance(outcome, RefusedInShutdown):
                 return self.shutdown_refusal(outcome)
             deadline_s = outcome.deadline_s
         customer = resolved.customer
@@ -156,7 +158,7 @@
             return None
         inputs = self.shutdown_input(stop, resolved, request)
         outcome = self.decide_during_shutdown(inputs)
-        if isinstance(outcome, TakenInStop):
+        if isinstance(outcome, AdmittedInShutdown):
             return None
         self.log_shutdown_decision(inputs, outcome, resolved.route, request)
         return self.shutdown_refusal(outcome)
@@ -197,45 +199,45 @@
             )
         return Refusal(status, reason)
 
-    def shutdown_refusal(self, outcome: RefusedInStop) -> Refusal:
+    def shutdown_refusal(self, outcome: RefusedInShutdown) -> Refusal:
         """Return the refusal of a request that a graceful shutdown does not admit."""
-        retry_after_s = max(MIN_RETRY_AFTER_S, outcome.return_s)
+        retry_after_s = max(MIN_RETRY_AFTER_S, outcome.min_retry_after_s)
         return refusal(self.components.rng, UNAVAILABLE, outcome.reason, retry_after_s)
 
     def shutdown_input(
         self, stop: PlannedStop, resolved: ResolvedRequest, request: GatewayRequest
-    ) -> StopInput:
+    ) -> ShutdownInput:
         """Return the input of the admission rule of a graceful shutdown."""
         now_s = trio.current_time()
         route = resolved.route
-        likely = self.durations.likely(route.name, output_tokens(request), now_s)
-        may_end_early = route.repeat == Repeat.ANY
+        estimate = self.durations.estimate(route.name, output_tokens(request), now_s)
+        may_shorten_deadline = route.repeat == Repeat.ANY
         is_alone = self.components.is_alone()
-        return StopInput(
-            now_s, stop, resolved.deadline_s, likely, may_end_early, is_alone
+        return ShutdownInput(
+            now_s, stop, resolved.deadline_s, estimate, may_shorten_deadline, is_alone
         )
 
     def log_shutdown_decision(
         self,
-        inputs: StopInput,
-        outcome: TakenInStop | RefusedInStop,
+        inputs: ShutdownInput,
+        outcome: AdmittedInShutdown | RefusedInShutdown,
         route: GatewayRoute,
         request: GatewayRequest,
     ) -> None:
         """Log the decision on a request during a graceful shutdown and its inputs."""
-        likely = inputs.likely
+        estimate = inputs.estimate
         log.info(
             "admission decided during graceful shutdown",
             request=request.id,
             route=route.name,
-            taken=isinstance(outcome, TakenInStop),
-            by=getattr(outcome, "bound", "no bound"),
+            taken=isinstance(outcome, AdmittedInShutdown),
+            by=getattr(outcome, "basis", "no bound"),
             since_signal_s=round(inputs.now_s - inputs.stop.signalled_s, 3),
             stop_left_s=round(inputs.stop.ends_s - inputs.now_s, 3),
-            limit_left_s=round(inputs.limit_s - inputs.now_s, 3),
-            likely_s=round(likely.within_s, 3),
-            answers=likely.answers,
-            answers_age_s=None if likely.age_s is None else round(likely.age_s, 1),
+            limit_left_s=round(inputs.deadline_s - inputs.now_s, 3),
+            likely_s=round(estimate.within_s, 3),
+            answers=estimate.answers,
+            answers_age_s=None if estimate.age_s is None else round(estimate.age_s, 1),
         )
 
     def customer_of(
--- a/src/rosemaryknot/request/generation_run.py
+++ b/src/rosemaryknot/request/generation_run.py
@@ -11,10 +11,10 @@
 from rosemaryknot.process.server_load import LoadTable
 from rosemaryknot.process.servers import ServerTable
 from rosemaryknot.request.attempts import Attempt, AttemptEnd, Leave, Moved, Silent
-from rosemaryknot.request.course import RequestContext
 from rosemaryknot.request.generations import Generation
 from rosemaryknot.request.moves import Mover
 from rosemaryknot.request.relay_records import note_end
+from rosemaryknot.request.request_context import RequestContext
 from rosemaryknot.request.router import Router
 from rosemaryknot.values.nodes import BackendServer
 from rosemaryknot.values.outcomes import Answered, NotRun, Reason, Unknown
@@ -72,7 +72,7 @@
     ----------
     generation : Generation
         What is generated.
-    course : Course
+    course : RequestContext
         Where it stands.
     parts : RelayParts
         What all runs share.
@@ -129,7 +129,7 @@
         seen = servers.revision
         with trio.move_on_after(NO_SERVER_WAIT_S):
             while True:
-                excluded = course.still_excluded()
+                excluded = course.current_exclusions()
                 choice = router.choose(self.generation, course.prompt, excluded)
                 if choice is not None:
                     return choice.server
@@ -168,7 +168,7 @@
     def count_recomputed(self, prompt_tokens: float) -> None:
         """Count the tokens that the next attempt computes again."""
         generation, course = self.generation, self.course
-        if course.joins:
+        if course.joins_running_attempt:
             return
         again = len(generation.tokens)
         if course.moved_tokens >= 0:
@@ -180,7 +180,7 @@
     def conclude(self, attempt: Attempt, guess: Guess, end: AttemptEnd) -> None:
         """Decide what follows from how an attempt ended."""
         course, server = self.course, attempt.server
-        course.note_progress(len(self.generation.tokens))
+        course.record_progress(len(self.generation.tokens))
         course.was_sent |= may_have_run(end)
         course.in_flight = False
         match end:
@@ -193,8 +193,8 @@
                 course.exclude(server)
             case Refused():
                 course.exclude(server)
-            case Silent(resume_here=True) | Crossed():
-                if not course.resume_here(server):
+            case Silent(resume_at_server=True) | Crossed():
+                if not course.resume_at_server(server):
                     self.give_up_on(server)
             case Moved(target=target, emitted=moved):
                 course.next_server, course.moved_tokens = target, moved
--- a/src/rosemaryknot/request/http_api.py
+++ b/src/rosemaryknot/request/http_api.py
@@ -17,14 +17,14 @@
 from rosemaryknot.process.drain import Drain
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import render_metrics
-from rosemaryknot.request.answers import REQUEST_HEADER, answer_of, json_answer
-from rosemaryknot.request.arrivals import Arrival, new_request_id, note_outcome
+from rosemaryknot.request.arrivals import Arrival, new_request_id, record_outcome
 from rosemaryknot.request.authentication import authenticate
 from rosemaryknot.request.generations import Followed, Generation
 from rosemaryknot.request.http_input import read_offset, wants_async
 from rosemaryknot.request.model_api import ModelApi
 from rosemaryknot.request.model_input import completion_document
 from rosemaryknot.request.plain_api import PlainApi, refused_input
+from rosemaryknot.request.responses import REQUEST_HEADER, json_response, response_for
 from rosemaryknot.values.outcomes import (
     Answered,
     NotRun,
@@ -83,8 +83,8 @@
         if not isinstance(customer, NotRun):
             return Arrival(request_id, arrived_s, view, customer)
         outcome = refused_input(request, customer)
-        note_outcome(request_id, "", "", arrived_s, outcome)
-        return answer_of(outcome, request_id)
+        record_outcome(request_id, "", "", arrived_s, outcome)
+        return response_for(outcome, request_id)
 
     async def call_plain(self, name: str, path: str = "") -> Response:
         """Pass a request through to a plain service."""
@@ -114,9 +114,9 @@
         if isinstance(outcome, Running):
             return running(generation.request_id)
         if not isinstance(outcome, Answered):
-            return answer_of(outcome, generation.request_id)
+            return response_for(outcome, generation.request_id)
         document = completion_document(generation, self.clock())
-        return json_answer(document, outcome.status, generation.request_id)
+        return json_response(document, outcome.status, generation.request_id)
 
     async def pick_up(self, request_id: str) -> Response:
         """Go on with an accepted request from an offset."""
@@ -136,21 +136,21 @@
         """Note an outcome and return its answer."""
         known = service if service in arrival.view.services else ""
         customer = arrival.customer.name
-        note_outcome(arrival.request_id, customer, known, arrival.arrived_s, outcome)
-        return answer_of(outcome, arrival.request_id)
+        record_outcome(arrival.request_id, customer, known, arrival.arrived_s, outcome)
+        return response_for(outcome, arrival.request_id)
 
     async def check_health(self) -> Response:
         """Tell that the process is alive."""
-        return json_answer({"status": "alive"}, 200, new_request_id(self.rng))
+        return json_response({"status": "alive"}, 200, new_request_id(self.rng))
 
     async def check_ready(self) -> Response:
         """Tell the balancer whether to send requests here."""
         request_id = new_request_id(self.rng)
         if self.drain.is_stopping:
-            return json_answer({"status": "stopping"}, NOT_READY, request_id)
+            return json_response({"status": "stopping"}, NOT_READY, request_id)
         if self.holder.view is None:
-            return json_answer({"status": "no configuration"}, NOT_READY, request_id)
-        return json_answer({"status": "ready"}, 200, request_id)
+            return json_response({"status": "no configuration"}, NOT_READY, request_id)
+        return json_response({"status": "ready"}, 200, request_id)
 
     async def show_metrics(self) -> Response:
         """Show the metrics to their collector."""
@@ -171,7 +171,7 @@
     async def refuse_path(self, error: HTTPException) -> Response:
         """Answer a request that no route takes."""
         detail = f"{error.code} {error.name}"
-        answer = answer_of(
+        answer = response_for(
             NotRun(Reason.BAD_REQUEST, detail=detail), new_request_id(self.rng)
         )
         answer.status_code = error.code or answer.status_code
@@ -181,13 +181,13 @@
         """Answer a request that met a fault of ours; whether it ran is unknown."""
         request_id = new_request_id(self.rng)
         log.error("fault", request=request_id, **fault_fields(error))
-        return answer_of(Unknown(Reason.NOT_PROVEN, "internal error"), request_id)
+        return response_for(Unknown(Reason.NOT_PROVEN, "internal error"), request_id)
 
 
 def running(request_id: str) -> Response:
     """Return the answer that tells where an accepted request is to be picked up."""
     document = {"outcome": "running", "id": request_id}
-    answer = json_answer(document, ACCEPTED, request_id)
+    answer = json_response(document, ACCEPTED, request_id)
     answer.headers["Location"] = f"/v1/requests/{request_id}"
     return answer
 
--- a/src/rosemaryknot/request/model_api.py
+++ b/src/rosemaryknot/request/model_api.py
@@ -9,7 +9,7 @@
 from rosemaryknot.process.drain import Drain
 from rosemaryknot.process.logs import logger
 from rosemaryknot.request.admission import Admission, Slot
-from rosemaryknot.request.arrivals import Arrival, note_outcome
+from rosemaryknot.request.arrivals import Arrival, record_outcome
 from rosemaryknot.request.generation_table import GenerationTable
 from rosemaryknot.request.generations import Followed, Generation
 from rosemaryknot.request.http_input import (
@@ -178,7 +178,7 @@
             outcome = await generation.wait_finished()
             slot.charge.settle(used_tokens(generation, slot.charge))
             slot.release()
-        note_outcome(
+        record_outcome(
             request.request_id,
             request.customer,
             request.service,
--- a/src/rosemaryknot/request/model_share.py
+++ b/src/rosemaryknot/request/model_share.py
@@ -98,7 +98,7 @@
         """
         cost = self.expected_tokens(request)
         left_s = request.deadline_s - trio.current_time()
-        charge = await self.budgets.take(
+        charge = await self.budgets.acquire(
             request.customer,
             request.service,
             limit,
@@ -108,7 +108,7 @@
         if isinstance(charge, NotRun):
             return self.drain.refusal() or charge
         slot.charge = charge
-        place = await self.queue.enter(
+        permit = await self.queue.acquire(
             request.customer,
             request.service,
             cost,
@@ -117,10 +117,10 @@
         )
         # The process may have begun to stop while the request waited.
         stopping = self.drain.refusal()
-        if isinstance(place, NotRun):
-            return stopping or place
-        slot.place = place
-        request.priority = fair_priority(request.priority, place.rank)
+        if isinstance(permit, NotRun):
+            return stopping or permit
+        slot.permit = permit
+        request.priority = fair_priority(request.priority, permit.usage_level)
         return stopping
 
     def expected_tokens(self, request: ModelRequest) -> float:
--- a/src/rosemaryknot/request/plain_api.py
+++ b/src/rosemaryknot/request/plain_api.py
@@ -146,7 +146,9 @@
             return slot
         charge = None
         try:
-            charge = await self.budgets.take(plain.customer, plain.service, limit, 0.0)
+            charge = await self.budgets.acquire(
+                plain.customer, plain.service, limit, 0.0
+            )
         finally:
             if not isinstance(charge, Charge):
                 slot.release()
--- a/src/rosemaryknot/request/relay.py
+++ b/src/rosemaryknot/request/relay.py
@@ -15,7 +15,6 @@
 from rosemaryknot.process.server_load import LoadTable
 from rosemaryknot.process.servers import ServerTable
 from rosemaryknot.request.attempts import Silent
-from rosemaryknot.request.course import RequestContext
 from rosemaryknot.request.generation_run import (
     NO_SERVER_RETRY_S,
     GenerationRun,
@@ -25,6 +24,7 @@
 from rosemaryknot.request.generations import Generation
 from rosemaryknot.request.moves import Mover
 from rosemaryknot.request.relay_records import note_begun, note_outcome
+from rosemaryknot.request.request_context import RequestContext
 from rosemaryknot.request.router import Router, prompt_of
 from rosemaryknot.values.nodes import ServerState
 from rosemaryknot.values.outcomes import (
--- a/src/rosemaryknot/request/answers.py
+++ b/src/rosemaryknot/request/responses.py
@@ -1,4 +1,4 @@
-"""How outcomes look as HTTP answers."""
+"""HTTP responses for the outcomes of requests."""
 
 import json
 import math
@@ -16,8 +16,8 @@
 
 __all__ = [
     "REQUEST_HEADER",
-    "answer_of",
-    "json_answer",
+    "response_for",
+    "json_response",
     "outcome_document",
     "outcome_name",
     "status_of",
@@ -49,12 +49,12 @@
     Parameters
     ----------
     outcome : Outcome
-        The outcome.
+        Outcome of the request.
 
     Returns
     -------
     status : int
-        HTTP status.
+        HTTP status code.
 
     Examples
     --------
@@ -73,7 +73,7 @@
 
 
 def outcome_name(outcome: Outcome) -> str:
-    """Return the word for an outcome in answers, logs and metrics."""
+    """Return the name of an outcome in responses, logs and metrics."""
     if isinstance(outcome, Answered):
         return "answered"
     if isinstance(outcome, NotRun):
@@ -82,7 +82,7 @@
 
 
 def outcome_document(outcome: NotRun | Unknown | Running) -> dict:
-    """Return an outcome without an answer as the JSON that callers get."""
+    """Return the JSON document for an outcome other than `Answered`."""
     document: dict = {"outcome": outcome_name(outcome)}
     if isinstance(outcome, Running):
         document["reason"] = str(Reason.ALREADY_RUNNING)
@@ -96,26 +96,26 @@
 
 
 def retry_after_seconds(outcome: NotRun | Running) -> int:
-    """Return when to come back, in whole seconds; 0 where it does not help."""
+    """Return the delay before a retry in whole seconds; 0 if a retry is useless."""
     return math.ceil(outcome.retry_after_s)
 
 
-def json_answer(document: dict, status: int, request_id: str) -> Response:
-    """Return a JSON answer that carries the request id.
+def json_response(document: dict, status: int, request_id: str) -> Response:
+    """Return a JSON response that carries the request id.
 
     Parameters
     ----------
     document : dict
-        Body.
+        Body of the response.
     status : int
-        HTTP status.
+        HTTP status code.
     request_id : str
-        Our id of the request.
+        Request id that this system assigned.
 
     Returns
     -------
     response : quart.Response
-        The answer.
+        The response.
     """
     body = json.dumps(document).encode()
     response = Response(body, status, content_type="application/json")
@@ -123,20 +123,20 @@
     return response
 
 
-def answer_of(outcome: Outcome, request_id: str) -> Response:
-    """Return the HTTP answer for an outcome.
+def response_for(outcome: Outcome, request_id: str) -> Response:
+    """Return the HTTP response for an outcome.
 
     Parameters
     ----------
     outcome : Outcome
-        The outcome.
+        Outcome of the request.
     request_id : str
-        Our id of the request.
+        Request id that this system assigned.
 
     Returns
     -------
     response : quart.Response
-        The answer, with ``Retry-After`` in whole seconds where coming back helps.
+        The response, with ``Retry-After`` in whole seconds if a retry is useful.
     """
     if isinstance(outcome, Answered):
         response = Response(outcome.body, outcome.status)
@@ -147,7 +147,7 @@
         response.headers[REQUEST_HEADER] = request_id
         return response
     document = outcome_document(outcome)
-    response = json_answer(document, status_of(outcome), request_id)
+    response = json_response(document, status_of(outcome), request_id)
     if document.get("retry_after"):
         response.headers["Retry-After"] = str(document["retry_after"])
     return response
--- a/src/rosemaryknot/standin/users/system.py
+++ b/src/rosemaryknot/standin/users/system.py
@@ -20,7 +20,7 @@
     NodeSettings,
     Store,
 )
-from rosemaryknot.process.true_time import TrueTime
+from rosemaryknot.process.synchronized_clock import SynchronizedClock
 from rosemaryknot.standin.users.cloud import CloudStandIn
 from rosemaryknot.standin.users.contact import Disturbances
 from rosemaryknot.standin.users.servers import Ledger, ServerStandIn, server_entry
@@ -348,7 +348,9 @@
         """Start a node, or start it again."""
         settings = self.settings(number, **options)
         stop = trio.Event()
-        clock = TrueTime(lambda: EPOCH_S + trio.current_time(), trio.current_time)
+        clock = SynchronizedClock(
+            lambda: EPOCH_S + trio.current_time(), trio.current_time
+        )
 
         async def run(task_status: trio.TaskStatus[GatewayNode]) -> None:
             with trio.CancelScope() as scope:
--- a/src/rosemaryknot/version/kept_ids.py
+++ b/src/rosemaryknot/version/kept_ids.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import asdict, dataclass
 
-from rosemaryknot.process.claims.records import OPEN_GRANT_S
+from rosemaryknot.process.claims.records import OPEN_GRANT_TTL_S
 from rosemaryknot.version.document import Problem, pointer
 from rosemaryknot.version.tables import AtMostOnce, Service
 from rosemaryknot.version.view import ConfigurationView
@@ -85,7 +85,7 @@
     for name, service in plain_services(old).items():
         if name not in plain:
             rule = service.at_most_once
-            last_s = max(OPEN_GRANT_S, rule.answer_horizon_s) + MARGIN_S
+            last_s = max(OPEN_GRANT_TTL_S, rule.answer_horizon_s) + MARGIN_S
             gone = RemovedService(rule.form, rule.answer_horizon_s, unix_s + last_s)
             held[name] = asdict(gone)
     return held
--- a/src/rosemaryknot/version/store.py
+++ b/src/rosemaryknot/version/store.py
@@ -163,11 +163,11 @@
         A patch on top of a restored backup would take the number of an accepted
         change and be refused by every node that holds it.
         """
-        if self.holder.settles_ours(stored.settles):
+        if self.holder.settles_current(stored.settles):
             return False
         if self.holder.conflict is not None or stored.number < self.holder.number:
             return True
-        return bool(self.holder.foreign_digest(stored.push))
+        return bool(self.holder.conflicting_digest(stored.push))
 
     async def write(self, prepared: Prepared, patch: Patch) -> SubmitResult:
         """Write the object until it is known what came of it.
--- a/src/rosemaryknot/version/watch.py
+++ b/src/rosemaryknot/version/watch.py
@@ -5,9 +5,9 @@
 
 import trio
 
-from rosemaryknot.process.configuration_spread import (
-    ConfigurationSpread,
-    chosen_nodes,
+from rosemaryknot.process.configuration_distributor import (
+    ConfigurationDistributor,
+    select_nodes,
 )
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import gauge
@@ -46,7 +46,7 @@
     ----------
     store : ConfigurationStore
         The store, with the holder.
-    spread : ConfigurationSpread
+    distributor : ConfigurationDistributor
         Exchange with the peers, which is asked before the store.
     rng : random.Random, optional
         Source of jitter.
@@ -60,27 +60,27 @@
     def __init__(
         self,
         store: ConfigurationStore,
-        spread: ConfigurationSpread,
+        distributor: ConfigurationDistributor,
         rng: random.Random | None = None,
     ) -> None:
         self.store = store
-        self.spread = spread
+        self.distributor = distributor
         self.holder = store.holder
         self.rng = random.Random() if rng is None else rng
         self.is_rolled_back = False
 
     async def run(self) -> None:
         """Watch until cancelled, once the peers were asked."""
-        await self.spread.asked.wait()
+        await self.distributor.peers_queried.wait()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.watch)
             nursery.start_soon(self.poll)
 
     def rank(self) -> int:
         """Return this node's place among its zone's watchers; 0 polls as well."""
-        node = self.spread.node
-        zone = [n for n in self.spread.peers.nodes() if n.zone == node.zone]
-        names = [n.name for n in chosen_nodes([*zone, node], KIND, len(zone) + 1)]
+        node = self.distributor.node
+        zone = [n for n in self.distributor.peers.nodes() if n.zone == node.zone]
+        names = [n.name for n in select_nodes([*zone, node], KIND, len(zone) + 1)]
         return names.index(node.name)
 
     async def watch(self) -> None:
--- a/tests/gateway/test_configurations.py
+++ b/tests/gateway/test_configurations.py
@@ -40,7 +40,9 @@
 def non_watching_node(fleet):
     """Return a node that does not watch the store itself."""
     nodes = fleet.nodes.values()
-    return next(n for n in nodes if not n.spread.watches("configuration"))
+    return next(
+        n for n in nodes if not n.change_distributor.should_watch("configuration")
+    )
 
 
 def ignore_message(message):
--- a/tests/gateway/test_control.py
+++ b/tests/gateway/test_control.py
@@ -335,7 +335,7 @@
             durations = fleet.nodes["n0"].gateway.durations
             for number in range(80):
                 pace = 0.04 if number % 20 == 10 else 0.013
-                durations.note("plan", 100 * pace, 100)
+                durations.record("plan", 100 * pace, 100)
             fleet.servers["m0"].work_s = fleet.servers["m1"].work_s = 0.1
             hold = await fleet.caller().open()
             await hold.send(
@@ -444,7 +444,7 @@
         """
         async with platform_system(nodes=15) as fleet:
             await trio.sleep(8)
-            for name in fleet.nodes["n0"].spread.watching():
+            for name in fleet.nodes["n0"].change_distributor.watching():
                 fleet.store.faults.begin("busy", f"10.2.0.{int(name[1:]) + 1}")
             await trio.sleep(7)
             fleet.store.put("config", "main", with_stock(7, "/new/"))
@@ -458,13 +458,13 @@
         async with platform_system(nodes=1) as fleet:
             node = fleet.nodes["n0"]
             fleet.store.faults.begin("silent")
-            follower = node.followers["servers"]
-            missed = follower.revision + 1
+            watcher = node.watchers["servers"]
+            missed = watcher.revision + 1
             value = fleet.servers["p0"].entry | {"state": "draining"}
             message = Changes(missed + 1, [ObjectChanged("p0", missed + 1, value)])
-            follower.take_told(missed, message)
+            watcher.apply_forwarded(missed, message)
             assert node.state.servers.by_id["p0"].has_announced_drain
-            assert follower.revision < missed
+            assert watcher.revision < missed
 
     async def test_deletion_from_a_peer_persists(self, autojump_clock):
         """A node queries the store while a peer reports that a server is removed.
@@ -473,11 +473,11 @@
         it would restore the server.
         """
         async with platform_system(nodes=1) as fleet:
-            follower = fleet.nodes["n0"].followers["servers"]
-            before = follower.revision
+            watcher = fleet.nodes["n0"].watchers["servers"]
+            before = watcher.revision
             value = fleet.servers["p0"].entry | {"state": "draining"}
             put = ObjectChanged("p0", before + 1, value)
             removed = ObjectChanged("p0", before + 2, None, deleted=True)
-            follower.take_told(before, Changes(before + 2, [put, removed]))
-            follower.take_changes(Changes(before + 1, [put]))
+            watcher.apply_forwarded(before, Changes(before + 2, [put, removed]))
+            watcher.apply_store_changes(Changes(before + 1, [put]))
             assert "p0" not in fleet.nodes["n0"].state.entries
--- a/tests/gateway/test_foreign_entries.py
+++ b/tests/gateway/test_foreign_entries.py
@@ -56,9 +56,9 @@
             await trio.sleep(SOON_S)
             assert ids_of(fleet) == known | {"p9"}
             assert [c for c in fleet.store.calls if "watch" not in c.path] == lists
-            await fleet.nodes["n0"].followers["servers"].list_all()
+            await fleet.nodes["n0"].watchers["servers"].list_all()
             assert ids_of(fleet) == known | {"p9"}
-            assert not fleet.nodes["n0"].followers["servers"].is_lost()
+            assert not fleet.nodes["n0"].watchers["servers"].is_unreachable()
 
     @pytest.mark.parametrize("name", ["", "x y", "x\ny", "x\u00e9", "x\ud800"])
     async def test_name_that_is_not_a_valid_id(self, autojump_clock, name):
@@ -114,7 +114,7 @@
                 fleet.store.put("servers", "x1", valid | {"state": "resting"})
                 await trio.sleep(SOON_S)
                 for _ in range(3):
-                    await fleet.nodes["n0"].followers["servers"].list_all()
+                    await fleet.nodes["n0"].watchers["servers"].list_all()
                 fleet.store.put("servers", "x1", valid | {"slots": True})
                 await trio.sleep(SOON_S)
             reasons = [x["reason"] for x in lines if "left alone" in x["event"]]
@@ -181,7 +181,7 @@
         await fleet.add_server("p1", PLAIN)
         await trio.sleep(SOON_S)
         assert ids_of(fleet) == {"p0", "p1"}
-        await fleet.nodes["n0"].followers["servers"].list_all()
+        await fleet.nodes["n0"].watchers["servers"].list_all()
         assert ids_of(fleet) == {"p0", "p1"}
         assert (await fleet.ask("/stock/x", method="GET")).status == 200
 
--- a/tests/gateway/test_hubs.py
+++ b/tests/gateway/test_hubs.py
@@ -257,7 +257,7 @@
             for _ in range(20):
                 await trio.sleep(0.1)
                 silent_count += sum(
-                    not fleet.nodes[name].is_holder_heard(f"{holder}/1")
+                    not fleet.nodes[name].is_holder_reporting(f"{holder}/1")
                     for name in candidates
                 )
             assert silent_count == 0
--- a/tests/gateway/test_server_restarts.py
+++ b/tests/gateway/test_server_restarts.py
@@ -338,7 +338,7 @@
                 fleet.store.put("servers", "p0", old)
                 await trio.sleep(SOON_S)
                 for _ in range(3):
-                    await fleet.nodes["n0"].followers["servers"].list_all()
+                    await fleet.nodes["n0"].watchers["servers"].list_all()
             ignored = [x for x in lines if "left alone" in x["event"]]
             assert len(ignored) == 1
             assert "no newer incarnation" in ignored[0]["reason"]
--- a/tests/gateway/test_slow_links.py
+++ b/tests/gateway/test_slow_links.py
@@ -14,7 +14,7 @@
 CHANGES = 8
 CHANGE_INTERVAL_S = 0.5
 # Maximum delay after the store's confirmation, according to the users' requirements.
-IN_FORCE_S = 3.0
+ACTIVATION_TIMEOUT_S = 3.0
 DRAIN_S = 3.0
 POLL_INTERVAL_S = 0.05
 
@@ -43,7 +43,7 @@
 def is_late(node, written):
     """Return whether a node uses a version that should have been replaced."""
     now_s = trio.current_time()
-    due = [v for v, at_s in written.items() if now_s - at_s > IN_FORCE_S]
+    due = [v for v, at_s in written.items() if now_s - at_s > ACTIVATION_TIMEOUT_S]
     return node.state.version < max(due, default=0)
 
 
@@ -76,7 +76,12 @@
             written = {}
             late = set()
             fleet.nursery.start_soon(change_in_series, fleet, written)
-            end_s = trio.current_time() + CHANGES * CHANGE_INTERVAL_S + IN_FORCE_S + 1
+            end_s = (
+                trio.current_time()
+                + CHANGES * CHANGE_INTERVAL_S
+                + ACTIVATION_TIMEOUT_S
+                + 1
+            )
             while trio.current_time() < end_s:
                 await trio.sleep(POLL_INTERVAL_S)
                 late |= {n for n, node in fleet.nodes.items() if is_late(node, written)}
@@ -90,7 +95,12 @@
             written = {}
             late = set()
             fleet.nursery.start_soon(change_in_series, fleet, written, changes, routes)
-            end_s = trio.current_time() + changes * CHANGE_INTERVAL_S + IN_FORCE_S + 1
+            end_s = (
+                trio.current_time()
+                + changes * CHANGE_INTERVAL_S
+                + ACTIVATION_TIMEOUT_S
+                + 1
+            )
             while trio.current_time() < end_s:
                 await trio.sleep(POLL_INTERVAL_S)
                 late |= {n for n, node in fleet.nodes.items() if is_late(node, written)}
@@ -105,7 +115,7 @@
             fleet.store.faults.begin("silent")
             await trio.sleep(1.0)
             fleet.store.faults.end()
-            await trio.sleep(CHANGES * CHANGE_INTERVAL_S + IN_FORCE_S)
+            await trio.sleep(CHANGES * CHANGE_INTERVAL_S + ACTIVATION_TIMEOUT_S)
             assert fleet.nodes["n0"].state.version == 2 * CHANGES + 1
 
     async def test_draining_servers_get_no_late_requests(self, autojump_clock):
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -1,4 +1,4 @@
-"""Tests of a node's first moments, in virtual time."""
+"""Tests of the start of a node, in virtual time."""
 
 import pytest
 import trio
@@ -8,41 +8,41 @@
 
 @pytest.fixture
 async def fleet():
-    """Return a platform and servers; no node has started."""
+    """Return a platform and servers without any node."""
     async with platform_system(nodes=0) as system:
         yield system
 
 
 class TestFirstConnections:
     async def test_wait_for_the_first_configuration(self, autojump_clock, fleet):
-        """A caller connects to a node that has asked for its configuration just now.
+        """A caller connects to a node that has just requested its configuration.
 
-        The answer is there some hundredths of a second later. The caller was refused
-        and came back after up to half a second, as all callers of a deployment did
-        whose nodes had started at once.
+        The configuration arrives some hundredths of a second later. The caller used to
+        be refused and retried after up to half a second, like all callers of a
+        deployment whose nodes had started at the same time.
         """
         hosts = frozenset((STORE.host, fleet.settings(0).listen.callers.host))
         fleet.network.delays_s[hosts] = 0.02
         await fleet.add_node(0)
-        answer = await fleet.ask("/stock/x", method="GET")
-        assert answer.status == 200
-        assert answer.took_s < 0.25
+        response = await fleet.ask("/stock/x", method="GET")
+        assert response.status == 200
+        assert response.took_s < 0.25
 
-    async def test_no_configuration_comes(self, autojump_clock, fleet):
-        """The store is away when a node starts; its caller is refused soon.
+    async def test_no_configuration_arrives(self, autojump_clock, fleet):
+        """The store is unreachable when a node starts; its caller is refused soon.
 
-        Longer than the first answers take, waiting helps nobody.
+        It is useless to wait longer than the first responses normally take.
         """
         fleet.store.faults.begin("busy")
         await fleet.add_node(0)
-        answer = await fleet.ask("/stock/x", method="GET")
-        assert answer.status == 503
-        assert answer.took_s < 0.3
+        response = await fleet.ask("/stock/x", method="GET")
+        assert response.status == 503
+        assert response.took_s < 0.3
 
-    async def test_more_connections_than_there_may_be(self, autojump_clock, fleet):
-        """Callers open more connections than a node may have, before it knows anything.
+    async def test_too_many_connections(self, autojump_clock, fleet):
+        """Callers open too many connections before the node has a configuration.
 
-        Counted before they waited, all of them would be served.
+        If connections were counted only before they wait, all of them would be served.
         """
         fleet.store.faults.begin("busy")
         node = await fleet.add_node(0)
--- a/tests/process/claim_fakes.py
+++ b/tests/process/claim_fakes.py
@@ -1,4 +1,4 @@
-"""Store and nodes with faults for the tests of claims."""
+"""Fake store and nodes with fault injection, for the tests of claims."""
 
 import random
 from collections import defaultdict
@@ -17,18 +17,19 @@
 
 
 class FakeStore:
-    """Object store whose answers can be lost, late or missing.
+    """Object store with lost responses, delayed writes and outages.
 
-    ``lose`` is the number of writes whose answer is lost after they took effect,
-    ``late`` the number that take effect only ``late_s`` after their failure.
+    ``lost_responses`` is the number of writes that take effect but whose response is
+    lost. ``delayed_writes`` is the number of writes that fail with a time-out and take
+    effect ``write_delay_s`` later.
     """
 
     def __init__(self):
         self.kinds = defaultdict(ObjectKind)
         self.is_down = False
-        self.lose = 0
-        self.late = 0
-        self.late_s = 1.0
+        self.lost_responses = 0
+        self.delayed_writes = 0
+        self.write_delay_s = 1.0
         self.calls = 0
         self.nursery = None
 
@@ -57,18 +58,18 @@
         await trio.sleep(0.001)
         if self.is_down:
             return PlatformFailed("unavailable")
-        if self.late:
-            self.late -= 1
+        if self.delayed_writes:
+            self.delayed_writes -= 1
             self.nursery.start_soon(self.put_late, kind, name, value, version)
             return PlatformFailed("timeout", maybe_done=True)
         written = self.kinds[kind].put(name, value, version)
-        if self.lose:
-            self.lose -= 1
+        if self.lost_responses:
+            self.lost_responses -= 1
             return PlatformFailed("timeout", maybe_done=True)
         return written
 
     async def put_late(self, kind, name, value, version):
-        await trio.sleep(self.late_s)
+        await trio.sleep(self.write_delay_s)
         self.kinds[kind].put(name, value, version)
 
 
@@ -113,7 +114,7 @@
 
     async def broadcast(self, value):
         for node in self.nodes():
-            if self.node.name not in self.cluster.mute_pushes:
+            if self.node.name not in self.cluster.nodes_without_broadcast:
                 self.cluster.nursery.start_soon(self.call, node.name, value, 1.0)
 
     async def call(self, name, value, timeout_s):
@@ -130,7 +131,10 @@
         return CallFailed("timeout", maybe_handled=True)
 
     async def deliver(self, name, value):
-        """Run the handler as a task of the called node; it goes on without us."""
+        """Run the handler as a task of the called node.
+
+        It continues after the call is cancelled.
+        """
         if not self.cluster.reaches(self.node.name, name):
             await trio.sleep_forever()
         member = self.cluster.members[name]
@@ -152,7 +156,7 @@
 
 
 class FakeInstances:
-    """Instance states as the platform knows them."""
+    """Instance states as reported by the platform."""
 
     def __init__(self):
         self.states = {}
@@ -197,7 +201,7 @@
 
 
 class FakeCluster:
-    """Nodes on fake links that can be cut, paused and killed, in virtual time."""
+    """Nodes that can be partitioned, paused and killed, in virtual time."""
 
     def __init__(self, nursery, safeguards=None, bounds=None):
         self.nursery = nursery
@@ -207,18 +211,18 @@
         self.safeguards = safeguards
         self.bounds = bounds
         self.members = {}
-        self.dead = set()
-        self.cuts = set()
+        self.stopped = set()
+        self.partitions = set()
         self.paused = set()
         self.lost_replies = set()
-        self.mute_pushes = set()
+        self.nodes_without_broadcast = set()
         self.delay_s = 0.001
         self.expected = 0
         self.starts = 0
 
     def reaches(self, one, other):
-        is_dead = self.dead & {one, other}
-        return not is_dead and frozenset((one, other)) not in self.cuts
+        has_stopped = self.stopped & {one, other}
+        return not has_stopped and frozenset((one, other)) not in self.partitions
 
     async def start(self, *names):
         """Start nodes; a name begins with its zone, as in ``a-1``."""
@@ -227,27 +231,27 @@
             node = Node(name, name.split("-")[0], self.starts)
             member = Member(self, node, self.safeguards, self.bounds)
             self.members[name] = member
-            self.dead.discard(name)
+            self.stopped.discard(name)
             self.instances.states[name] = ServerState.LIVE
             self.expected = max(self.expected, len(self.members))
             await self.nursery.start(member.run)
         await trio.sleep(2)
 
     def kill(self, name, state=None):
-        """End a node's process; the platform may know of it."""
-        self.dead.add(name)
+        """Stop a node's process and optionally set its instance state."""
+        self.stopped.add(name)
         self.members[name].nursery.cancel_scope.cancel()
         if state:
             self.instances.states[name] = state
 
-    def cut(self, ones, others):
-        self.cuts |= {frozenset((one, other)) for one in ones for other in others}
+    def partition(self, ones, others):
+        self.partitions |= {frozenset((one, other)) for one in ones for other in others}
 
     def claims(self, name):
         return self.members[name].claims
 
     def key_owned_by(self, name, start=0):
-        """Return a key whose shard a node owns now."""
+        """Return a key whose shard a node currently owns."""
         maps = self.claims(name).maps
         for number in range(start, start + 10_000):
             key = f"k{number}"
@@ -257,8 +261,8 @@
         raise AssertionError(f"{name} owns nothing")
 
     def owners(self):
-        """Return for each shard the live nodes that admit for it now."""
-        live = [m for name, m in self.members.items() if name not in self.dead]
+        """Return for each shard the live nodes that currently handle calls for it."""
+        live = [m for name, m in self.members.items() if name not in self.stopped]
         return [
             [m.node.name for m in live if m.claims.ownership.active(index)]
             for index in range(12)
--- a/tests/process/configuration_fleet.py
+++ b/tests/process/configuration_fleet.py
@@ -1,4 +1,4 @@
-"""A region of agents with peers, platform and freezable hosts, in virtual time."""
+"""A region of agents with peers, a platform and hosts that can be suspended."""
 
 import random
 from collections.abc import Callable
@@ -11,8 +11,8 @@
 from rosemaryknot.connection.memory_network import MemoryNetwork
 from rosemaryknot.connection.platform import PlatformClient
 from rosemaryknot.process.configuration import ConfigurationHolder
-from rosemaryknot.process.configuration_spread import (
-    ConfigurationSpread,
+from rosemaryknot.process.configuration_distributor import (
+    ConfigurationDistributor,
     register_configuration_handlers,
 )
 from rosemaryknot.process.peers import PeerSet
@@ -32,7 +32,7 @@
 
 
 class Agent:
-    """The configuration's parts of one agent, on a host of its own."""
+    """The configuration components of one agent, on a host of its own."""
 
     def __init__(self, region: "Region", index: int, incarnation: int = 1) -> None:
         self.region = region
@@ -53,25 +53,25 @@
             handlers,
             rng=rng,
         )
-        self.spread = ConfigurationSpread(
+        self.distributor = ConfigurationDistributor(
             self.node, self.holder, self.peers, expected=region.expected, rng=rng
         )
-        register_configuration_handlers(handlers, self.holder, self.spread)
+        register_configuration_handlers(handlers, self.holder, self.distributor)
         self.platform = PlatformClient(self.host.network, PLATFORM)
         self.store = ConfigurationStore(self.platform, self.holder, lambda: 1000.0)
-        self.watcher = ConfigurationWatcher(self.store, self.spread, rng)
+        self.watcher = ConfigurationWatcher(self.store, self.distributor, rng)
         self.seen: list[tuple[float, int]] = []
 
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.note)
+            nursery.start_soon(self.record_versions)
             await nursery.start(self.peers.run)
-            nursery.start_soon(self.spread.run)
+            nursery.start_soon(self.distributor.run)
             if not self.region.without_watch:
                 nursery.start_soon(self.watcher.run)
 
-    async def note(self) -> None:
-        """Keep the times at which versions came into force."""
+    async def record_versions(self) -> None:
+        """Record the times at which versions became active."""
         number = 0
         while True:
             number = (await self.holder.wait_changed(number)).number
@@ -84,7 +84,7 @@
 
 
 class Region:
-    """Agents round robin over three zones, and one platform."""
+    """Agents assigned round-robin to three zones, and one platform."""
 
     def __init__(self, nursery: trio.Nursery, seed: int = 1) -> None:
         self.nursery = nursery
@@ -97,7 +97,7 @@
         self.without_watch = False
 
     async def start(self, count: int) -> None:
-        """Start the platform with version 1 and so many agents."""
+        """Start the platform with version 1 and a number of agents."""
         network = self.network.with_host(PLATFORM.host)
         await self.nursery.start(self.standin.serve, network, PLATFORM)
         for index in range(count):
@@ -105,10 +105,10 @@
         await trio.sleep(1)
         first = Patch("patch-first", 0, first_patch(), "ana")
         await self.agents[0].store.submit(first)
-        await self.until(1)
+        await self.wait_active(1)
 
     def add(self, index: int, incarnation: int = 1) -> Agent:
-        """Start an agent, or start one again."""
+        """Start an agent, or restart one."""
         agent = Agent(self, index, incarnation)
         self.agents[index : index + 1] = [agent]
         self.hosts.append(agent.host)
@@ -118,8 +118,8 @@
     def numbers(self) -> list[int]:
         return [agent.holder.number for agent in self.agents]
 
-    async def until(self, number: int, timeout_s: float = 30.0) -> float:
-        """Return the seconds until the version is in force at all agents."""
+    async def wait_active(self, number: int, timeout_s: float = 30.0) -> float:
+        """Return the seconds until the version is active at all agents."""
         start = trio.current_time()
         with trio.fail_after(timeout_s):
             for agent in self.agents:
@@ -129,8 +129,8 @@
     def hosts_of(self, zone: str) -> list[str]:
         return [agent.ip for agent in self.agents if agent.zone == zone]
 
-    def cut_off(self, zone: str, heal: bool = False) -> None:
-        """Cut a zone off from the others and from the platform, or heal the cut."""
+    def partition_zone(self, zone: str, heal: bool = False) -> None:
+        """Partition a zone from the others and the platform, or heal the partition."""
         inside = self.hosts_of(zone)
         outside = [agent.ip for agent in self.agents if agent.zone != zone]
         change = self.network.heal if heal else self.network.cut
@@ -139,7 +139,7 @@
                 change(one, other)
 
     def reverts(self) -> int:
-        """Return how often an agent went back to an older version."""
+        """Return how often an agent reverted to an older version."""
         return sum(
             later[1] < earlier[1]
             for agent in self.agents
@@ -148,7 +148,7 @@
 
 
 def run_region(main: Callable, seed: int = 1, **options) -> object:
-    """Run a test's async function of a region in virtual time."""
+    """Run an async test function with a region in virtual time."""
 
     async def run() -> object:
         async with trio.open_nursery() as nursery:
@@ -158,7 +158,7 @@
             try:
                 result = await main(region)
             finally:
-                # A frozen task cannot be cancelled; the run would never end.
+                # A suspended task cannot be cancelled, so the run would never end.
                 for host in region.hosts:
                     host.dispose()
                 nursery.cancel_scope.cancel()
--- a/tests/process/limit_fleet.py
+++ b/tests/process/limit_fleet.py
@@ -61,9 +61,9 @@
             return CallFailed("closed", maybe_handled=False)
         return await self.fleet.call(self, self.node.name, value, "entry", timeout_s)
 
-    async def take(self, tokens, customer=CUSTOMER, max_wait_s=0.0):
+    async def acquire(self, tokens, customer=CUSTOMER, max_wait_s=0.0):
         limit = self.fleet.limit
-        return await self.entry.take(customer, SERVICE, limit, tokens, max_wait_s)
+        return await self.entry.acquire(customer, SERVICE, limit, tokens, max_wait_s)
 
 
 class LimitFleet:
@@ -144,7 +144,7 @@
 
         async def send(node):
             nonlocal admitted
-            charge = await node.take(tokens, max_wait_s=max_wait_s)
+            charge = await node.acquire(tokens, max_wait_s=max_wait_s)
             if isinstance(charge, Charge):
                 admitted += tokens
                 charge.settle(tokens)
@@ -165,7 +165,7 @@
 
         async def send(node):
             nonlocal running, max_running
-            charge = await node.take(0)
+            charge = await node.acquire(0)
             if isinstance(charge, Charge):
                 running += 1
                 max_running = max(max_running, running)
--- a/tests/process/test_agent.py
+++ b/tests/process/test_agent.py
@@ -232,7 +232,9 @@
         entries of its zone and of the others must have stopped sending work there.
         """
         # Comparison of the tables would hide a mark that was not passed on.
-        monkeypatch.setattr("rosemaryknot.process.servers_spread.COMPARE_S", 1e6)
+        monkeypatch.setattr(
+            "rosemaryknot.process.server_distributor.COMPARE_INTERVAL_S", 1e6
+        )
         async with trio.open_nursery() as nursery:
             region = Region(nursery)
             region.platform.add_instance(server("e1"))
--- a/tests/process/test_claims_objects.py
+++ b/tests/process/test_claims_objects.py
@@ -1,4 +1,4 @@
-"""First form of at-most-once execution against a store with faults."""
+"""At-most-once execution with one stored object per id, with faults of the store."""
 
 import pytest
 import trio
@@ -21,11 +21,11 @@
 
 
 class TestObjectClaims:
-    async def test_one_of_two_claimants_is_granted(self, autojump_clock, store):
-        """Two entries claim the same id at the same moment.
+    async def test_one_of_two_concurrent_claims_is_granted(self, autojump_clock, store):
+        """Two entries claim the same id at the same time.
 
-        Both create the object; the store lets one through, and the other one reads
-        that the id is running. Without the condition both would send.
+        Both try to create the object. The store accepts one write, and the other entry
+        reads that the id is running. Without the condition both would send the request.
         """
         replies = []
 
@@ -40,38 +40,36 @@
         assert len(granted) == 1
         assert [reply.outcome for reply in refused] == ["running"]
 
-    async def test_lost_answer_of_the_grant_is_read_back(self, autojump_clock, store):
-        """The write takes effect and its answer is lost.
+    async def test_grant_with_lost_response_is_read_back(self, autojump_clock, store):
+        """The write takes effect but its response is lost.
 
-        The claimant reads the object, finds its own claim in it and may send. A
-        second claimant, which cannot know that, is told that the id is running.
+        The claimant reads the object, finds its own claim in it and may send. A second
+        claimant is refused, since the id is running.
         """
-        store.lose = 1
+        store.lost_responses = 1
         one, two = claims_of(store), claims_of(store)
         assert await one.claim(claim_of("k", "c1")) == ClaimGranted("c1")
         reply = await two.claim(claim_of("k", "c2"))
         assert reply.outcome == "running"
 
-    async def test_write_that_lands_late_grants_nothing_more(
-        self, autojump_clock, store
-    ):
-        """The write's answer fails, and the write lands when the retry has won.
+    async def test_delayed_write_does_not_grant_again(self, autojump_clock, store):
+        """A write times out and takes effect after its retry has succeeded.
 
-        The retry of the claimant creates the object, so the late one meets a
-        conflict. Whoever claims then finds one grant.
+        The retry creates the object, so the delayed write is a conflict. A later claim
+        finds a single grant.
         """
-        store.late, store.late_s = 1, 5.0
+        store.delayed_writes, store.write_delay_s = 1, 5.0
         assert await claims_of(store).claim(claim_of("k", "c1")) == ClaimGranted("c1")
         await trio.sleep(10)
         reply = await claims_of(store).claim(claim_of("k", "c2", attempt=2))
         assert reply.outcome != "not_run"
         assert store.kinds["claims"].version == 1
 
-    async def test_store_outage_refuses_without_a_lie(self, autojump_clock, store):
-        """The store is down, so nothing can be claimed or closed.
+    async def test_store_outage_gives_correct_refusals(self, autojump_clock, store):
+        """The store is unavailable, so nothing can be claimed or closed.
 
-        A declared attempt 1 is refused "not run"; any other may be a repeat of one
-        that ran, and its answer is unknown.
+        A declared attempt 1 is refused as "not run". Any other attempt may repeat one
+        that ran, so its outcome is "unknown".
         """
         store.is_down = True
         claims = claims_of(store)
@@ -82,13 +80,13 @@
         assert outcomes == ["not_run", "unknown", "unknown"]
         assert not (await claims.close(close_of("k", 2))).closed
 
-    async def test_closed_attempts_never_run_and_a_later_one_does(
+    async def test_closed_attempts_do_not_run_but_later_ones_do(
         self, autojump_clock, store
     ):
-        """Trap A: attempt 1 waits at one entry while attempt 2 is refused elsewhere.
+        """Attempt 1 waits at one entry while attempt 2 is refused at another.
 
-        The refusal closes attempts up to 2 in the store first, so the claim of the
-        waiting attempt finds it closed. Attempt 3 may run.
+        The refusal first closes the attempts up to 2 in the store, so the claim of the
+        waiting attempt is refused. Attempt 3 may run.
         """
         here, there = claims_of(store), claims_of(store)
         assert (await there.close(close_of("k", 2))).closed
@@ -97,13 +95,13 @@
         assert await here.claim(claim_of("k", "c3", attempt=3)) == ClaimGranted("c3")
         assert (await there.close(close_of("k", 4))).outcome == "running"
 
-    async def test_refusal_rests_on_the_store_and_not_on_a_cached_record(
+    async def test_refusal_uses_the_stored_and_not_a_cached_record(
         self, autojump_clock, store
     ):
-        """One agent closed attempt 2; then another one grants attempt 3.
+        """One agent closes attempt 2, then another one grants attempt 3.
 
-        The first agent still remembers the id as closed and not run. A repeat of
-        attempt 2 that it told "not run" would be refused while the id has run.
+        A record cached by the first agent would still show the id as closed and not
+        run. A repeat of attempt 2 would be refused as "not run" although the id runs.
         """
         here, there = claims_of(store), claims_of(store)
         assert (await here.close(close_of("k", 2))).closed
@@ -111,7 +109,9 @@
         assert (await here.claim(claim_of("k", "c2", attempt=2))).outcome == "running"
         assert not (await here.close(close_of("k", 2))).closed
 
-    async def test_unsent_grant_lets_a_later_attempt_run(self, autojump_clock, store):
+    async def test_later_attempt_runs_after_an_unsent_grant(
+        self, autojump_clock, store
+    ):
         claims = claims_of(store)
         request = claim_of("k", "c1", attempt=1)
         await claims.claim(request)
@@ -120,7 +120,7 @@
         assert again.reason == Reason.ATTEMPT_CLOSED
         assert await claims.claim(claim_of("k", "c3", attempt=2)) == ClaimGranted("c3")
 
-    async def test_repeat_gets_the_kept_answer_and_another_body_none(
+    async def test_repeat_gets_the_stored_response_and_another_body_is_refused(
         self, autojump_clock, store
     ):
         claims = claims_of(store)
@@ -137,12 +137,12 @@
         assert (other.outcome, other.reason) == ("not_run", Reason.BODY_DIFFERS)
         assert store.calls == 6
 
-    async def test_objects_go_after_their_horizon_and_open_grants_stay(
+    async def test_objects_expire_but_open_grants_are_kept(
         self, autojump_clock, store, nursery
     ):
-        """An entry is paused between its grant and its send, for an hour.
+        """An entry is paused for an hour between its grant and sending the request.
 
-        Its id must still be taken when it wakes; answered ids are deleted after
+        Its grant must still be stored when it resumes. Answered ids are deleted after
         their horizon.
         """
         claims = claims_of(store)
