--- a/tests/process/test_claims_operators.py
+++ b/tests/process/test_claims_operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls and commands on the shards: who may, and what is refused."""
+"""Operator API and commands for the shards: permissions and refusals."""
 
 import json
 
@@ -26,7 +26,7 @@
 
 
 class Region:
-    """Three nodes with one agent's operators' API, and ``a-1`` killed."""
+    """Three nodes with the operator API of one agent; the node ``a-1`` is killed."""
 
     def __init__(self, nursery, state=None) -> None:
         self.cluster = FakeCluster(nursery)
@@ -52,43 +52,46 @@
         content = json.dumps(body).encode() if body else None
         return await ask_agent(self.network, options, method, path, {}, content)
 
-    def owned_by_the_dead(self) -> int:
+    def shards_of_stopped_owner(self) -> int:
         shards = self.cluster.claims("b-1").maps.map.shards
         return sum(shard.owner == "a-1" for shard in shards)
 
 
 @pytest.fixture
 async def region(autojump_clock, nursery):
-    """Return a region whose platform no longer knows the dead node."""
+    """Return a region whose platform no longer knows the killed node."""
     made = Region(nursery)
     await made.start()
     return made
 
 
 class TestConfirmEnded:
-    async def test_shards_pass_on_by_an_editors_word(self, autojump_clock, region):
-        """A node's machine is gone and the platform no longer knows its instance.
+    async def test_shards_are_taken_over_after_confirmation(
+        self, autojump_clock, region
+    ):
+        """A node has failed and the platform no longer knows its instance.
 
-        Absence proves nothing, so its shards wait for ever. An editor who is sure
-        names the node twice; then others take the shards.
+        A missing instance is no confirmation, so the shards are unavailable
+        indefinitely. After an editor confirms by naming the node twice, other nodes
+        take over the shards.
         """
         shown = await region.call("GET", "/v1/shards", VIEWER_KEY)
         first = shown.body["owners"][0]
         assert (first["owner"], first["state"]) == ("a-1", "mute")
-        assert len(first["shards"]) == region.owned_by_the_dead() > 0
+        assert len(first["shards"]) == region.shards_of_stopped_owner() > 0
         asked = await region.call("POST", CONFIRM, node="a-1")
         assert (asked.status, asked.body["outcome"]) == (409, "needs_confirm")
         assert "can run twice" in asked.body["detail"]
         wrong = await region.call("POST", CONFIRM, node="a-1", confirm="yes")
         assert wrong.body["outcome"] == "needs_confirm"
         await trio.sleep(30)
-        assert region.owned_by_the_dead() > 0
+        assert region.shards_of_stopped_owner() > 0
         done = await region.call("POST", CONFIRM, node="a-1", confirm="a-1")
         assert (done.status, done.body["shards"]) == (202, len(first["shards"]))
         await trio.sleep(30)
-        assert region.owned_by_the_dead() == 0
+        assert region.shards_of_stopped_owner() == 0
 
-    async def test_what_is_refused(self, autojump_clock, region):
+    async def test_refused_confirmations(self, autojump_clock, region):
         viewer = await region.call(
             "POST", CONFIRM, VIEWER_KEY, node="a-1", confirm="a-1"
         )
@@ -101,26 +104,26 @@
         assert nobody.status == 404
         assert (await region.call("POST", CONFIRM, node=["a-1"])).status == 400
         await trio.sleep(30)
-        assert region.owned_by_the_dead() > 0
+        assert region.shards_of_stopped_owner() > 0
 
-    async def test_platform_that_knows_the_instance_goes_first(
+    async def test_instance_known_to_the_platform_is_refused(
         self, autojump_clock, nursery
     ):
-        """The platform says that the instance lives; the operator believes it gone.
+        """An operator confirms a node whose instance the platform reports as live.
 
-        A live instance may hold a paused process. It can be terminated, so the word
-        is not needed.
+        A live instance may run a paused process. The instance can be terminated, so no
+        confirmation is needed.
         """
         region = Region(nursery, ServerState.LIVE)
         await region.start()
         refused = await region.call("POST", CONFIRM, node="a-1", confirm="a-1")
         assert (refused.status, refused.body["outcome"]) == (409, "not_terminated")
         await trio.sleep(30)
-        assert region.owned_by_the_dead() > 0
+        assert region.shards_of_stopped_owner() > 0
 
 
 def run_command(monkeypatch, *arguments: str):
-    """Run one command against the API of a fresh region."""
+    """Run one command against the API of a new region."""
     admin_main.load_commands()
 
     async def call(method, path, content):
@@ -141,14 +144,14 @@
 
 
 class TestCommands:
-    def test_shards_shows_mute_owners_first(self, monkeypatch):
+    def test_shards_lists_silent_owners_first(self, monkeypatch):
         result = run_command(monkeypatch, "shards")
         assert result.exit_code == ExitCode.FAILED
         rows = [line.split() for line in result.output.splitlines()]
         assert rows[3][:2] == ["a-1", "mute"]
         assert {row[0]: row[1] for row in rows[4:]} == {"b-1": "live", "c-1": "live"}
 
-    def test_confirm_ended_wants_the_name_twice(self, monkeypatch):
+    def test_confirm_ended_requires_the_name_twice(self, monkeypatch):
         asked = run_command(monkeypatch, "confirm-ended", "a-1")
         assert asked.exit_code == ExitCode.REFUSED
         assert "can run twice" in asked.output
@@ -156,4 +159,4 @@
         command = ("confirm-ended", "a-1", "--confirm", "a-1")
         done = run_command(monkeypatch, *command)
         assert done.exit_code == ExitCode.OK
-        assert "a-1 counts as ended" in done.output
+        assert "a-1 is confirmed as stopped" in done.output
--- a/tests/process/test_claims_shards.py
+++ b/tests/process/test_claims_shards.py
@@ -1,4 +1,4 @@
-"""Target form of at-most-once execution: admission, copies and partitions."""
+"""At-most-once execution with shards: admission, replication and partitions."""
 
 import trio
 from tests.process.claim_fakes import FakeCluster, claim_of, close_of, result_of
@@ -19,7 +19,7 @@
 
 
 class TestAdmission:
-    async def test_each_shard_has_one_owner_and_claims_cost_no_store_call(
+    async def test_each_shard_has_one_owner_and_claims_need_no_store_call(
         self, autojump_clock, nursery
     ):
         cluster = await cluster_of(nursery)
@@ -48,7 +48,7 @@
                 claimants.start_soon(claim, name)
         assert sum(isinstance(reply, ClaimGranted) for reply in replies) == 1
 
-    async def test_repeat_gets_the_kept_answer(self, autojump_clock, nursery):
+    async def test_repeat_gets_the_stored_response(self, autojump_clock, nursery):
         cluster = await cluster_of(nursery)
         request = claim_of("k", "c1", timeout_s=10.0)
         await cluster.claims("a-1").claim(request)
@@ -61,7 +61,7 @@
         other = await cluster.claims("c-1").claim(claim_of("k", "c4", body=b"x"))
         assert (other.outcome, other.reason) == ("not_run", Reason.BODY_DIFFERS)
 
-    async def test_silent_entry_leaves_the_id_unknown_after_the_timeout(
+    async def test_id_is_unknown_after_the_timeout_of_a_silent_entry(
         self, autojump_clock, nursery
     ):
         cluster = await cluster_of(nursery)
@@ -70,13 +70,14 @@
         reply = await cluster.claims("a-1").claim(claim_of("k", "c2"))
         assert (reply.outcome, reply.reason) == ("unknown", Reason.TIMED_OUT)
 
-    async def test_full_table_refuses_new_ids_and_keeps_old_ones(
+    async def test_full_table_refuses_new_ids_and_keeps_existing_ones(
         self, autojump_clock, nursery
     ):
-        """More ids come than the owner may remember.
+        """More ids are claimed than the owner may store.
 
-        New ids are refused with a reason of their own. What ran is still known, as
-        forgetting it would let it run again; after the horizon there is room again.
+        New ids are refused with a separate reason. Records of ids that ran are kept,
+        since the ids would run again otherwise. After the horizon there is free
+        capacity again.
         """
         cluster = await cluster_of(nursery, "a-1", bounds=TableBounds(max_records=5))
         claims = cluster.claims("a-1")
@@ -94,12 +95,13 @@
         first = await claims.claim(claim_of("newer", "c11", attempt=1))
         assert isinstance(first, ClaimGranted)
 
-    async def test_large_answers_go_before_what_ran_is_forgotten(
+    async def test_large_responses_are_discarded_before_records(
         self, autojump_clock, nursery
     ):
-        """Answers fill the memory that ids may take.
+        """Stored responses exhaust the memory for records.
 
-        A new answer is not kept then; its id is, so a repeat is told that it ran.
+        A new response is not stored then, but its id is. So a repeat is refused with
+        the reason that the response is lost.
         """
         bounds = TableBounds(max_bytes=8000)
         cluster = await cluster_of(nursery, "a-1", "a-2", "b-1", bounds=bounds)
@@ -120,16 +122,18 @@
         lost = [reply for reply in repeats if not isinstance(reply, ClaimAnswered)]
         assert kept and {reply.reason for reply in lost} == {Reason.ANSWER_LOST}
         for member in cluster.members.values():
-            for use in (member.claims.ownership.use, member.claims.holder.use):
-                assert use.bytes < 1.25 * bounds.max_bytes + 8 * 1000
+            for usage in (member.claims.ownership.usage, member.claims.holder.usage):
+                assert usage.bytes < 1.25 * bounds.max_bytes + 8 * 1000
 
 
 class TestClosing:
-    async def test_waiting_attempt_finds_itself_closed(self, autojump_clock, nursery):
-        """Trap A: attempt 1 waits at one entry, attempt 2 is refused at another.
+    async def test_waiting_attempt_is_refused_after_it_was_closed(
+        self, autojump_clock, nursery
+    ):
+        """Attempt 1 waits at one entry while attempt 2 is refused at another.
 
-        The owner and one peer know of the closing before "not run" is said, so the
-        waiting attempt is refused when its turn comes. Attempt 3 runs.
+        The owner and one peer record the closed attempts before "not run" is returned,
+        so the waiting attempt is refused when it is claimed. Attempt 3 runs.
         """
         cluster = await cluster_of(nursery)
         assert (await cluster.claims("b-1").close(close_of("k", 2))).closed
@@ -138,23 +142,24 @@
         later = await cluster.claims("a-1").claim(claim_of("k", "c3", attempt=3))
         assert later == ClaimGranted("c3")
 
-    async def test_closing_that_no_peer_knows_of_is_not_proven(
+    async def test_close_without_a_replica_is_not_confirmed(
         self, autojump_clock, nursery
     ):
         cluster = await cluster_of(nursery)
         key = cluster.key_owned_by("a-1")
-        cluster.cut(["a-1"], NODES[1:])
+        cluster.partition(["a-1"], NODES[1:])
         reply = await cluster.claims("a-1").close(close_of(key, 2))
         assert (reply.closed, reply.reason) == (False, Reason.NOT_PROVEN)
 
-    async def test_closing_survives_the_owner_for_an_attempt_on_its_way(
+    async def test_closed_attempt_in_transit_is_refused_after_a_takeover(
         self, autojump_clock, nursery
     ):
-        """Attempt 1 is stuck before its entry has read it; attempt 2 is refused.
+        """Attempt 1 is delayed before its entry reads it, and attempt 2 is refused.
 
-        The owner closes both attempts and dies; a successor takes over, and only
-        then the entry reads attempt 1, under the new map. The copy at a peer tells
-        that it is closed. Without the copy it would run after "not run" was said.
+        The owner closes both attempts and fails. A successor takes over, and only then
+        the entry reads attempt 1 and claims it with the new map. The replica at a peer
+        contains the closed attempts. Without it, attempt 1 would run after the caller
+        was told "not run".
         """
         for is_copied in (False, True):
             async with trio.open_nursery() as inner:
@@ -173,13 +178,13 @@
 
 
 class TestLostMessages:
-    async def test_lost_grant_is_given_up_and_the_id_runs_again(
+    async def test_id_runs_again_after_an_abandoned_grant(
         self, autojump_clock, nursery
     ):
-        """The owner grants and its reply is lost, so the entry never sends.
+        """The owner grants a claim and its reply is lost, so the entry does not send.
 
-        The entry reports the claim as not sent. Its attempt stays closed, since the
-        caller of attempt 1 was told "not run"; attempt 2 runs.
+        The entry reports the claim as not sent. The attempt stays closed, since the
+        caller of attempt 1 was told "not run". Attempt 2 runs.
         """
         cluster = await cluster_of(nursery)
         key = cluster.key_owned_by("a-1")
@@ -199,13 +204,13 @@
         later = await claims.claim(claim_of(key, "c4", attempt=2))
         assert later == ClaimGranted("c4")
 
-    async def test_claim_that_comes_after_it_was_given_up_is_refused(
+    async def test_claim_that_arrives_after_it_was_abandoned_is_refused(
         self, autojump_clock, nursery
     ):
-        """A claim is slower than the report that it was given up.
+        """A claim arrives after the report that it was abandoned.
 
-        The owner hears "not sent" of a claim it does not know, and closes the
-        attempt; the claim that arrives then would be granted to nobody.
+        The owner receives "not sent" for an unknown claim and closes the attempt. If
+        the claim that arrives later were granted, no entry would use the grant.
         """
         cluster = await cluster_of(nursery)
         request = claim_of("k", "c1", attempt=2)
@@ -217,21 +222,21 @@
 
 
 class TestPartition:
-    async def test_zone_that_is_cut_off_books_with_its_hint(
+    async def test_partitioned_zone_claims_keys_with_its_zone_hint(
         self, autojump_clock, nursery
     ):
-        """Zone a is cut off from the other zones and from the platform.
+        """Zone a is partitioned from the other zones and from the platform.
 
-        Keys with its hint have their owner inside, so they are booked there, with
-        the copy in the same zone. Other keys are refused without a lie. Outside,
-        keys of zone a are refused, since their owners live on unseen.
+        Keys with its zone hint have their owner inside, so they are granted there, with
+        the replica in the same zone. Other keys are refused with a correct outcome.
+        Outside, keys of zone a are refused, since their owners may still run.
         """
         cluster = await cluster_of(nursery)
         cluster.store.is_down = True
-        cluster.cut(NODES[:2], NODES[2:])
+        cluster.partition(NODES[:2], NODES[2:])
         inside, outside = cluster.claims("a-1"), cluster.claims("b-1")
-        booked = await inside.claim(claim_of("zone:a/k", "c1"))
-        assert booked == ClaimGranted("c1")
+        granted = await inside.claim(claim_of("zone:a/k", "c1"))
+        assert granted == ClaimGranted("c1")
         key = cluster.key_owned_by("b-1")
         first = await inside.claim(claim_of(key, "c2", attempt=1))
         second = await inside.claim(claim_of(key, "c3", attempt=2))
@@ -242,7 +247,7 @@
             Reason.OWNER_UNREACHABLE,
         )
 
-    async def test_store_outage_stops_no_claim(self, autojump_clock, nursery):
+    async def test_claims_need_no_store(self, autojump_clock, nursery):
         cluster = await cluster_of(nursery)
         cluster.store.is_down = True
         await trio.sleep(300)
--- a/tests/process/test_configuration.py
+++ b/tests/process/test_configuration.py
@@ -1,4 +1,4 @@
-"""The holder of the version in force, and an agent with its entry."""
+"""Tests of the holder of the active version, and of an agent with its entry."""
 
 import pytest
 import trio
@@ -6,7 +6,7 @@
 
 from rosemaryknot.connection.links import Handlers, Hello
 from rosemaryknot.process.configuration import ApplyResult, ConfigurationHolder
-from rosemaryknot.process.configuration_spread import (
+from rosemaryknot.process.configuration_distributor import (
     keep_entry_current,
     register_configuration_handlers,
 )
@@ -27,7 +27,7 @@
 
 
 class EntryLink:
-    """Link to an entry whose holder is at hand."""
+    """Link to an entry that calls the handlers of its holder directly."""
 
     def __init__(self, entry: ConfigurationHolder) -> None:
         self.hello = Hello("n1", "waco-a", 1, "entry", b"")
@@ -61,14 +61,14 @@
         assert (holder.view is not before) == is_changed
 
     async def test_unusable_document_changes_nothing(self):
-        """A document breaks while its tables are derived; the old ones stay whole."""
+        """A document whose tables cannot be derived leaves the old ones unchanged."""
         holder = holder_of(5)
         broken = {**DOCUMENT, "customers": {"c": {"limits": 7}}}
         result = holder.apply(6, document_digest(broken), broken, "test")
         assert (result, holder.number) == (ApplyResult.UNUSABLE, 5)
 
     async def test_conflict_ends_only_by_settling(self):
-        """After two digests under 5 nothing is taken but what settles 5."""
+        """After two digests under 5, only a version that settles 5 is applied."""
         holder = holder_of(5)
         holder.apply(5, OTHER_DIGEST, OTHER, "test")
         assert holder.apply(6, OTHER_DIGEST, OTHER, "test") is ApplyResult.STOPPED
@@ -78,10 +78,10 @@
 
 class TestKeepEntryCurrent:
     @pytest.mark.parametrize(("agent", "entry"), [(5, 0), (5, 3), (0, 5), (3, 5)])
-    async def test_newer_one_wins(self, autojump_clock, agent, entry):
-        """An agent restarts while cut off and knows less than its entry, or more.
+    async def test_newer_version_wins(self, autojump_clock, agent, entry):
+        """An agent restarts in a partition and is behind its entry, or ahead of it.
 
-        To push what the agent has would revert the entry; the agent takes the
+        Pushing the agent's older version would revert the entry. The agent adopts the
         entry's version instead, and later changes go to the entry again.
         """
         agent, entry = holder_of(agent), holder_of(entry)
--- a/tests/process/test_configuration_faults.py
+++ b/tests/process/test_configuration_faults.py
@@ -1,4 +1,4 @@
-"""Seeded faults together: partitions, pauses, outages, lost answers, restarts."""
+"""Seeded faults: partitions, suspensions, outages, lost responses, restarts."""
 
 import random
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 NODES = 6
 STEPS = 12
 STEP_S = 4.0
-QUIET_S = 30.0
+SETTLING_S = 30.0
 
 
-class Chaos:
-    """Operators at random agents, and one random fault at a time and kind."""
+class FaultInjector:
+    """Operators at random agents, and random faults, at most one of each kind."""
 
     def __init__(self, region: Region, seed: int) -> None:
         self.region = region
@@ -26,20 +26,20 @@
         self.unknown: set[str] = set()
         self.submitted = 0
         self.faults: list[Callable[[], Callable[[], None]]] = [
-            self.cut_zone,
-            self.pause_node,
+            self.partition_random_zone,
+            self.suspend_node,
             self.outage,
             self.lose_answers,
             self.late_writes,
             self.restart_node,
         ]
 
-    def cut_zone(self) -> Callable[[], None]:
+    def partition_random_zone(self) -> Callable[[], None]:
         zone = self.rng.choice(ZONES)
-        self.region.cut_off(zone)
-        return lambda: self.region.cut_off(zone, heal=True)
+        self.region.partition_zone(zone)
+        return lambda: self.region.partition_zone(zone, heal=True)
 
-    def pause_node(self) -> Callable[[], None]:
+    def suspend_node(self) -> Callable[[], None]:
         agent = self.rng.choice(self.region.agents)
         agent.host.freeze()
         return agent.host.thaw
@@ -65,8 +65,8 @@
         self.region.add(index, old.node.incarnation + 1)
         return lambda: None
 
-    async def operate(self) -> None:
-        """Submit a patch through a random agent, as an operator who saw its number."""
+    async def submit_patch(self) -> None:
+        """Submit a patch to a random agent, based on the version active there."""
         agent = self.rng.choice(self.region.agents)
         self.submitted += 1
         name = f"patch-{self.submitted:04}"
@@ -80,40 +80,40 @@
             self.stale.add(name)
 
     async def run(self) -> None:
-        """Let faults and operators come, then quiet."""
+        """Inject faults and submit patches, then wait until the region settles."""
         async with trio.open_nursery() as nursery:
             for _ in range(STEPS):
                 ends = [fault() for fault in self.rng.sample(self.faults, 2)]
                 for _ in range(3):
-                    nursery.start_soon(self.operate)
+                    nursery.start_soon(self.submit_patch)
                     await trio.sleep(self.rng.uniform(0, STEP_S / 2))
                 for end in ends:
                     end()
                 await trio.sleep(self.rng.uniform(0, STEP_S))
-        await trio.sleep(QUIET_S)
+        await trio.sleep(SETTLING_S)
 
 
 class TestFaultsTogether:
     @pytest.mark.parametrize("seed", range(4))
     def test_accepted_changes_stay(self, seed):
-        """Two faults at a time hit a region while operators race each other.
+        """A region has two faults at a time while operators submit concurrently.
 
-        Afterwards all nodes hold one version. Every patch that was called accepted
-        is in it under the number that was given, no other has that number, none
-        that was called stale came in all the same, and no node ever went back.
+        Afterwards all nodes hold the same version. Every patch reported as accepted is
+        in it under the reported number, which no other patch has. No patch reported as
+        stale is in it, and no node ever reverted.
         """
 
         async def main(region: Region) -> None:
             await region.start(NODES)
-            chaos = Chaos(region, seed)
-            await chaos.run()
+            injector = FaultInjector(region, seed)
+            await injector.run()
             stored = region.standin.kinds["configuration"].objects["main"].value
             assert region.numbers() == [stored["number"]] * NODES
-            assert chaos.accepted.items() <= stored["patches"].items()
-            assert not chaos.stale & stored["patches"].keys()
+            assert injector.accepted.items() <= stored["patches"].items()
+            assert not injector.stale & stored["patches"].keys()
             assert len(set(stored["patches"].values())) == len(stored["patches"])
             assert not any(agent.holder.conflict for agent in region.agents)
             assert region.reverts() == 0
-            assert chaos.accepted
+            assert injector.accepted
 
         run_region(main, seed=seed, expected=2)
--- a/tests/process/test_drain.py
+++ b/tests/process/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of the planned stop, in virtual time and by a real signal."""
+"""Tests of the graceful shutdown, in virtual time and with a real signal."""
 
 import json
 import signal
@@ -21,16 +21,16 @@
 
 
 async def read_stream(caller, events, tokens=800):
-    async with caller.stream("POST", CHAT, json=chat(tokens)) as answer:
-        events += events_of(await answer.aread())
+    async with caller.stream("POST", CHAT, json=chat(tokens)) as response:
+        events += events_of(await response.aread())
 
 
-class TestPlannedStop:
-    async def test_in_flight_end_whole(self, nursery, autojump_clock):
-        """The stop comes while two streams and a booking are in flight.
+class TestGracefulShutdown:
+    async def test_requests_in_flight_complete(self, nursery, autojump_clock):
+        """The shutdown starts while two streams and a booking are in flight.
 
-        The instance is not ready at once and refuses new work with an answer, and
-        the three end whole before the process does.
+        The instance becomes unready immediately and refuses new work with a response.
+        The three requests complete before the process ends.
         """
         fleet = await whole_fleet(nursery, not_ready_s=0.0)
         for plain in fleet.plains.values():
@@ -49,15 +49,15 @@
             await trio.sleep(0.01)
             assert (await caller.get("/readyz")).status_code == 503
             assert (await caller.get("/healthz")).status_code == 200
-            for answer in (
+            for response in (
                 await caller.post(CHAT, json=chat()),
                 await caller.post(BOOK, headers=booking("b2", 1)),
                 unnumbered := await caller.post(BOOK, headers=booking("b3")),
             ):
-                assert answer.status_code == 503
-                assert answer.json()["reason"] == "stopping"
-                assert answer.json()["outcome"] == "not_run"
-                assert int(answer.headers["Retry-After"]) >= 1
+                assert response.status_code == 503
+                assert response.json()["reason"] == "stopping"
+                assert response.json()["outcome"] == "not_run"
+                assert int(response.headers["Retry-After"]) >= 1
             assert "new Idempotency-Key" in unnumbered.json()["detail"]
             assert not fleet.ended[0].is_set()
         for events in streams:
@@ -69,30 +69,30 @@
         assert fleet.runs() == {"b1": 1}
 
     async def test_nothing_in_flight(self, nursery, autojump_clock):
-        """The balancer looks at /readyz every two seconds, and the instance is idle.
+        """The load balancer probes /readyz every two seconds, and the instance is idle.
 
-        Ending at once would leave the balancer sending callers to a closed port until
-        it looks again. The instance goes on to refuse them with an answer for that
-        long, and then ends.
+        If the instance ended immediately, the load balancer would send callers to a
+        closed port until its next probe. The instance refuses them with a response for
+        that time, and then ends.
         """
         fleet = await whole_fleet(nursery, not_ready_s=2.0)
         async with fleet.caller() as caller:
             fleet.stops[0].set()
             await trio.sleep(1.9)
             assert (await caller.get("/readyz")).status_code == 503
-            answer = await caller.post(CHAT, json=chat())
-            assert answer.json()["reason"] == "stopping"
+            response = await caller.post(CHAT, json=chat())
+            assert response.json()["reason"] == "stopping"
         await trio.sleep(1.0)
         assert fleet.ended[0].is_set()
 
     async def test_accepted_without_a_caller(self, nursery, autojump_clock):
-        """A request was accepted and its caller is gone: it still ends whole."""
+        """An accepted request completes although its caller has disconnected."""
         fleet = await whole_fleet(nursery, not_ready_s=0.0)
         async with fleet.caller() as caller:
-            answer = await caller.post(
+            response = await caller.post(
                 CHAT, json=chat(800), headers={"Prefer": "respond-async"}
             )
-        request_id = answer.json()["id"]
+        request_id = response.json()["id"]
         generation = fleet.entries[0].relay.table.find("estimator-1", request_id)
         fleet.stops[0].set()
         await fleet.ended[0].wait()
@@ -100,45 +100,45 @@
         assert events[-2]["outcome"] == "answered"
 
     async def test_second_signal(self, nursery, autojump_clock):
-        """A second signal cuts the stop short while a stream is open.
+        """A second signal ends the shutdown early while a stream is open.
 
-        The process ends at once. The caller's stream breaks off in the middle of its
-        framing, which no client takes for the end of an answer.
+        The process ends immediately. The caller's stream breaks off in the middle of
+        its framing, which no client mistakes for the end of a response.
         """
         fleet = await whole_fleet(nursery)
         async with (
             fleet.caller() as caller,
-            caller.stream("POST", CHAT, json=chat(4000)) as answer,
+            caller.stream("POST", CHAT, json=chat(4000)) as response,
         ):
             fleet.stops[0].set()
             await trio.sleep(1.0)
             fleet.scopes[0].cancel()
             with pytest.raises(httpx.TransportError):
-                await answer.aread()
+                await response.aread()
         assert fleet.ended[0].is_set()
 
-    async def test_caller_who_reads_late(self, nursery, autojump_clock):
-        """The answer is whole before its caller has read it.
+    async def test_caller_that_reads_late(self, nursery, autojump_clock):
+        """The response is complete before its caller has read it.
 
-        The part that the connection has no room for is still in the process, which
-        must not end before it is written.
+        The part that does not fit into the buffers of the connection is still in the
+        process, which must not end before it is written.
         """
         fleet = await whole_fleet(nursery)
         async with (
             fleet.caller() as caller,
-            caller.stream("POST", CHAT, json=chat(4000)) as answer,
+            caller.stream("POST", CHAT, json=chat(4000)) as response,
         ):
             fleet.stops[0].set()
             await trio.sleep(18.0)
-            events = events_of(await answer.aread())
+            events = events_of(await response.aread())
         assert events[-2] == {"outcome": "answered", "tokens": len(events) - 2}
 
-    async def test_caller_who_never_reads(self, nursery, autojump_clock):
+    async def test_caller_that_never_reads(self, nursery, autojump_clock):
         """A caller opens a long stream and never reads it.
 
-        Its answer fills the buffers and the writer waits. Without a bound the stop
-        waits for it for ever; the connection is closed instead, and the process ends
-        well within the bound of the drain.
+        Its response fills the buffers and the writer waits. Without a timeout the
+        shutdown would wait for it indefinitely. The connection is closed instead, and
+        the process ends well within the timeout of the drain.
         """
         fleet = await whole_fleet(nursery, drain_timeout_s=500.0)
         body = json.dumps(chat(4000)).encode()
@@ -154,8 +154,8 @@
         await fleet.ended[0].wait()
         assert trio.current_time() - started_s < 60.0
 
-    async def test_bound(self, nursery, autojump_clock):
-        """A booking hangs at its server: the stop goes on at its bound."""
+    async def test_timeout(self, nursery, autojump_clock):
+        """A booking hangs at its server: the shutdown continues after its timeout."""
         fleet = await whole_fleet(nursery, drain_timeout_s=2.0)
         for plain in fleet.plains.values():
             plain.faults.append(PlainFault("silent_after"))
@@ -191,7 +191,7 @@
 
 
 class TestSignals:
-    """The real process: SIGTERM ends it with code 0, without a traceback."""
+    """The real process: SIGTERM ends it with exit code 0 and no traceback."""
 
     def test_sigterm(self, tmp_path):
         (tmp_path / "key").write_text("a cluster key of tests")
--- a/tests/process/test_leases.py
+++ b/tests/process/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of leases: several candidates over the real platform stand-in."""
+"""Tests of leases with several candidates and the real platform stand-in."""
 
 import random
 
@@ -16,11 +16,11 @@
 
 PLATFORM = Address("10.0.0.9", 7000)
 NAME = "placement-kit-assistant"
-TAKE_OVER_S = DURATION_S + 4.0
+TAKEOVER_TIMEOUT_S = DURATION_S + 4.0
 
 
 class Region:
-    """A platform and processes that want one lease, each on its own host."""
+    """A platform and processes that compete for one lease, each on its own host."""
 
     def __init__(self, count, safeguards):
         self.network = MemoryNetwork()
@@ -35,18 +35,18 @@
             for i, client in enumerate(self.clients)
         ]
         self.spawned = [trio.open_memory_channel(10) for _ in range(count)]
-        self.most_holders = 0
+        self.max_holders = 0
         self.numbers = []
 
     def start(self, nursery):
-        """Run all leases, and note at each moment who believes to hold it."""
+        """Run all leases, and sample which processes consider themselves the holder."""
         for index, host in enumerate(self.hosts):
             nursery.start_soon(host.run, self.run_process, index)
             self.spawn(index, self.leases[index].run)
-        nursery.start_soon(self.note)
+        nursery.start_soon(self.sample_holders)
 
     async def run_process(self, index):
-        """Run what is spawned on a host, each in a task of that host."""
+        """Run the functions spawned on a host, each in a task of that host."""
         async with trio.open_nursery() as nursery:
             async for function, args in self.spawned[index][1]:
                 nursery.start_soon(function, *args)
@@ -54,14 +54,14 @@
     def spawn(self, index, function, *args):
         self.spawned[index][0].send_nowait((function, args))
 
-    async def note(self):
+    async def sample_holders(self):
         while True:
-            self.look()
+            self.poll()
             await trio.sleep(0.05)
 
-    def look(self):
+    def poll(self):
         holders = [lease for lease in self.leases if lease.is_held()]
-        self.most_holders = max(self.most_holders, len(holders))
+        self.max_holders = max(self.max_holders, len(holders))
         for lease in holders:
             if not self.numbers or self.numbers[-1] != lease.fencing:
                 self.numbers.append(lease.fencing)
@@ -72,8 +72,8 @@
         return next(i for i, lease in enumerate(self.leases) if lease.is_held())
 
 
-def run_region(story, count=3, **safeguards):
-    """Run an async function of a region and a nursery in virtual time."""
+def run_region(scenario, count=3, **safeguards):
+    """Run an async function with a region and a nursery in virtual time."""
     results = []
 
     async def main():
@@ -83,7 +83,7 @@
             await nursery.start(region.platform.serve, network, PLATFORM)
             try:
                 with trio.fail_after(600.0):
-                    results.append(await story(region, nursery))
+                    results.append(await scenario(region, nursery))
             finally:
                 for host in region.hosts:
                     host.dispose()
@@ -98,65 +98,74 @@
 
 class TestLease:
     def test_race_for_a_free_lease(self):
-        """Five processes find the lease free at the same moment: one gets it."""
+        """Five processes find the lease free at the same time; only one acquires it."""
 
-        async def story(region, nursery):
+        async def scenario(region, nursery):
             for wait_s in (DURATION_S, 1.0):
                 async with trio.open_nursery() as steps:
                     for lease in region.leases:
                         steps.start_soon(lease.step)
                 await trio.sleep(wait_s)
-                region.look()
-            return region.numbers, region.most_holders
+                region.poll()
+            return region.numbers, region.max_holders
 
-        assert run_region(story, count=5) == ([1], 1)
+        assert run_region(scenario, count=5) == ([1], 1)
 
     def test_renewed_for_long(self):
-        """Nothing fails: one holder, one number, and few calls by all together."""
+        """Without faults one holder keeps one number, with few calls to the store."""
 
-        async def story(region, nursery):
+        async def scenario(region, nursery):
             region.start(nursery)
             await region.holder()
             before = region.platform.calls.copy()
             await trio.sleep(300.0)
             calls = region.platform.calls - before
-            return region.numbers, region.most_holders, calls
+            return region.numbers, region.max_holders, calls
 
-        numbers, most, calls = run_region(story)
-        assert (numbers, most) == ([1], 1)
+        numbers, max_holders, calls = run_region(scenario)
+        assert (numbers, max_holders) == ([1], 1)
         assert calls["write"] <= 300 / 2.4
         assert calls["read"] <= 2 * 300 / 2.4
 
-    def test_holder_paused_across_its_lapse(self):
-        """The holder stands still for a minute and knows nothing of it.
+    def test_holder_paused_across_expiry(self):
+        """The holder is suspended for a minute without noticing it.
 
-        Another takes the lease over. The first must find its own lapsed at its very
-        first look after the pause, before it has read anything.
+        Another process acquires the lease. The first one must find its own lease
+        expired in its very first check after the suspension, before it has read
+        anything.
         """
 
-        async def story(region, nursery):
+        async def scenario(region, nursery):
             region.start(nursery)
-            paused = await region.holder()
-            region.hosts[paused].freeze()
+            suspended = await region.holder()
+            region.hosts[suspended].freeze()
             await trio.sleep(60.0)
-            taken = [i for i, lease in enumerate(region.leases) if lease.is_held()]
-            region.hosts[paused].thaw()
-            still_held = region.leases[paused].is_held()
+            new_holders = [
+                i for i, lease in enumerate(region.leases) if lease.is_held()
+            ]
+            region.hosts[suspended].thaw()
+            still_held = region.leases[suspended].is_held()
             await trio.sleep(30.0)
-            return paused, taken, still_held, region.numbers, region.most_holders
-
-        paused, taken, still_held, numbers, most = run_region(story)
-        assert len(taken) == 1 and taken != [paused] and not still_held
-        assert (numbers, most) == ([1, 2], 1)
+            return (
+                suspended,
+                new_holders,
+                still_held,
+                region.numbers,
+                region.max_holders,
+            )
+
+        suspended, new_holders, still_held, numbers, max_holders = run_region(scenario)
+        assert len(new_holders) == 1 and new_holders != [suspended] and not still_held
+        assert (numbers, max_holders) == ([1, 2], 1)
 
     def test_outage_while_holding(self):
-        """The store is out for a minute, silent or refusing.
+        """The store is out for a minute, either silent or refusing calls.
 
-        The lease lapses by the holder's own clock, nobody else can take it, and
-        after the outage one process has it under a higher number.
+        The lease expires by the holder's own clock and nobody else can acquire it.
+        After the outage one process holds it under a higher number.
         """
 
-        async def story(region, nursery, outage):
+        async def scenario(region, nursery, outage):
             region.start(nursery)
             await region.holder()
             region.platform.faults.outage = outage
@@ -166,23 +175,23 @@
             region.platform.faults.outage = ""
             await region.holder()
             await trio.sleep(30.0)
-            return any(held), region.numbers, region.most_holders
+            return any(held), region.numbers, region.max_holders
 
         for outage in ("refuse", "silent"):
 
-            async def outage_story(region, nursery, outage=outage):
-                return await story(region, nursery, outage)
+            async def outage_scenario(region, nursery, outage=outage):
+                return await scenario(region, nursery, outage)
 
-            assert run_region(outage_story) == (False, [1, 2], 1)
+            assert run_region(outage_scenario) == (False, [1, 2], 1)
 
-    def test_answer_of_the_renewal_lost(self):
-        """The store renews the lease, and the answer is lost on the way.
+    def test_renewal_response_lost(self):
+        """The store renews the lease, but the response is lost.
 
-        The holder reads its own write back and goes on under the same number;
-        taken for a failure, it would lose the lease to its own renewal.
+        The holder reads its own write back and continues under the same number. If it
+        treated the lost response as a failure, its own renewal would cost it the lease.
         """
 
-        async def story(region, nursery):
+        async def scenario(region, nursery):
             region.start(nursery)
             holder = await region.holder()
             for _ in range(10):
@@ -190,20 +199,20 @@
                 await trio.sleep(4.0)
                 assert region.platform.faults.lose_answers == 0
                 assert region.leases[holder].is_held()
-            return region.numbers, region.most_holders
+            return region.numbers, region.max_holders
 
-        assert run_region(story) == ([1], 1)
+        assert run_region(scenario) == ([1], 1)
 
     @pytest.mark.parametrize("lease_margin", [True, False])
     def test_renewal_that_is_read_back_late(self, lease_margin):
-        """A renewal takes effect, its answer is lost, and the store out of reach.
+        """A renewal takes effect, its response is lost and the store is unreachable.
 
-        Ten seconds later the holder reads its own record. A candidate saw the
-        renewal when it was written and takes over now. A holder that counts from
-        when it learns of its renewal goes on beside the new one.
+        Ten seconds later the holder reads its own record. A candidate saw the renewal
+        when it was written and acquires the lease now. A holder that measures the
+        duration from when it learns of its renewal would be a second holder.
         """
 
-        async def story(region, nursery):
+        async def scenario(region, nursery):
             one, other = region.leases
             address = region.hosts[0].network.host
             await one.step()
@@ -222,22 +231,22 @@
             await trio.sleep(0.5)
             await other.step()
             await trio.sleep(DURATION_S)
-            region.look()
-            await one.look()
+            region.poll()
+            await one.poll()
             await other.step()
-            region.look()
-            return region.most_holders
+            region.poll()
+            return region.max_holders
 
-        holders = run_region(story, count=2, lease_margin=lease_margin)
+        holders = run_region(scenario, count=2, lease_margin=lease_margin)
         assert holders == (1 if lease_margin else 2)
 
-    def test_renewals_that_land_late(self):
+    def test_renewals_that_take_effect_late(self):
         """Writes take effect twelve seconds after they were sent.
 
-        Each lands on a lease that may have passed on, where its condition fails.
+        By then the lease may have another holder, so that the write's condition fails.
         """
 
-        async def story(region, nursery):
+        async def scenario(region, nursery):
             region.start(nursery)
             await region.holder()
             region.platform.faults.late_effect_s = 12.0
@@ -245,56 +254,56 @@
             region.platform.faults.late_effect_s = 0.0
             await region.holder()
             await trio.sleep(30.0)
-            return region.numbers, region.most_holders
+            return region.numbers, region.max_holders
 
-        numbers, most = run_region(story)
-        assert most == 1
+        numbers, max_holders = run_region(scenario)
+        assert max_holders == 1
         assert numbers == sorted(set(numbers)) and len(numbers) >= 2
 
-    def test_planned_stop(self):
-        """The holder stops: the next one need not wait for the lease to lapse."""
+    def test_graceful_shutdown(self):
+        """After a graceful shutdown the next holder need not wait for expiry."""
 
-        async def story(region, nursery):
+        async def scenario(region, nursery):
             region.start(nursery)
             first = await region.holder()
             await region.leases[first].release()
             begin_s = trio.current_time()
             second = await region.holder()
             took_s = trio.current_time() - begin_s
-            return took_s, region.leases[second].is_clean, region.numbers
+            return took_s, region.leases[second].is_clean_handover, region.numbers
 
-        took_s, is_clean, numbers = run_region(story)
-        assert took_s < 4.0 and is_clean and numbers == [1, 2]
+        took_s, is_clean_handover, numbers = run_region(scenario)
+        assert took_s < 4.0 and is_clean_handover and numbers == [1, 2]
 
     def test_store_restored_from_a_backup(self):
-        """The store comes back with a record of long ago, or without one.
+        """The store comes back with an old record, or without one.
 
-        Its number is lower than what backend servers have seen. The holder learns
-        of it from them, and the next number is above all that were used.
+        Its number is lower than what backend servers have seen. The holder learns the
+        higher number from them, and the next number exceeds all that were used.
         """
 
-        async def story(region, nursery):
+        async def scenario(region, nursery):
             region.start(nursery)
             first = await region.holder()
             await region.leases[first].release()
             await trio.sleep(DURATION_S)
             holder = await region.holder()
             region.platform.rollback(KIND, NAME, 1)
-            await trio.sleep(2 * TAKE_OVER_S)
+            await trio.sleep(2 * TAKEOVER_TIMEOUT_S)
             holder = await region.holder()
-            region.leases[holder].note_fencing(7)
+            region.leases[holder].record_fencing(7)
             assert not region.leases[holder].is_held()
-            await trio.sleep(TAKE_OVER_S)
-            return region.numbers, region.most_holders
+            await trio.sleep(TAKEOVER_TIMEOUT_S)
+            return region.numbers, region.max_holders
 
-        numbers, most = run_region(story)
-        assert most == 1
+        numbers, max_holders = run_region(scenario)
+        assert max_holders == 1
         assert numbers == sorted(set(numbers)) and numbers[-1] == 8
 
 
 class TestCandidates:
     def test_zones_and_stability(self):
-        """Candidates lie in different zones, and a node's end moves only its own."""
+        """Candidates are in different zones; a stopped node loses only its place."""
         zones = ("a", "b", "c")
         nodes = [Node(f"n{i}", zones[i % 3], 1) for i in range(63)]
         chosen = lease_candidates(nodes, NAME)
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -88,14 +88,14 @@
         [node] = fleet.non_owners("waco-a")
         await flood([node], 3, 10, 0.01)
         asked_s = trio.current_time()
-        refusal = await node.take(33)
+        refusal = await node.acquire(33)
         assert trio.current_time() - asked_s < 0.15
         assert isinstance(refusal, NotRun)
         assert refusal.reason == Reason.LIMIT_REACHED
         await trio.sleep(refusal.retry_after_s * 0.7)
-        assert isinstance(await node.take(33), NotRun)
+        assert isinstance(await node.acquire(33), NotRun)
         await trio.sleep(refusal.retry_after_s * 0.3 + 0.01)
-        assert isinstance(await node.take(33), Charge)
+        assert isinstance(await node.acquire(33), Charge)
 
     async def test_debt_survives_idle_period(self, autojump_clock, nursery):
         """A request uses the limit of one minute, followed by 150 seconds of silence.
@@ -107,19 +107,19 @@
         await fleet.run(nursery)
         fleet.partition_zone("waco-a")
         node = fleet.owner("waco-a")
-        charge = await node.take(RATE)
+        charge = await node.acquire(RATE)
         charge.settle(RATE)
         await trio.sleep(150)
-        refusal = await node.take(10)
+        refusal = await node.acquire(10)
         assert isinstance(refusal, NotRun)
         assert refusal.retry_after_s > 15
         await trio.sleep(refusal.retry_after_s)
-        assert isinstance(await node.take(10), Charge)
+        assert isinstance(await node.acquire(10), Charge)
 
     async def test_request_larger_than_the_limit_of_a_minute(
         self, autojump_clock, fleet
     ):
-        refusal = await fleet.owner("waco-a").take(RATE + 1)
+        refusal = await fleet.owner("waco-a").acquire(RATE + 1)
         assert (refusal.reason, refusal.retry_after_s) == (Reason.LIMIT_REACHED, 0.0)
 
 
@@ -138,7 +138,7 @@
         charges = []
 
         async def send_large(node):
-            charge = await node.take(100, max_wait_s=5)
+            charge = await node.acquire(100, max_wait_s=5)
             charges.append(charge)
             if isinstance(charge, Charge):
                 await trio.sleep(1)
@@ -146,7 +146,7 @@
 
         async def send_small():
             while math.isfinite(small_gap_s):
-                charge = await owner.take(3, max_wait_s=0.5)
+                charge = await owner.acquire(3, max_wait_s=0.5)
                 if isinstance(charge, Charge):
                     charge.settle(3)
                 await trio.sleep(small_gap_s)
@@ -172,12 +172,12 @@
         await trio.sleep(2)
         fleet.partition_zone("waco-a")
         [node] = fleet.non_owners("waco-a")
-        assert isinstance(await node.take(100, max_wait_s=1), Charge)
+        assert isinstance(await node.acquire(100, max_wait_s=1), Charge)
         start_s = trio.current_time()
-        refusal = await node.take(60, max_wait_s=2)
+        refusal = await node.acquire(60, max_wait_s=2)
         assert trio.current_time() - start_s < 0.3
         assert 2 < refusal.retry_after_s < 5.0
-        assert isinstance(await node.take(60, max_wait_s=5), Charge)
+        assert isinstance(await node.acquire(60, max_wait_s=5), Charge)
         waited_s = trio.current_time() - start_s
         assert waited_s == pytest.approx(refusal.retry_after_s, abs=0.25)
 
@@ -191,7 +191,7 @@
         await trio.sleep(2)
         [node] = fleet.non_owners("waco-a")
         for _ in range(2):
-            assert isinstance(await node.take(30, max_wait_s=5), Charge)
+            assert isinstance(await node.acquire(30, max_wait_s=5), Charge)
 
     async def test_bound_holds_with_waiters(self, autojump_clock, fleet):
         """Requests wait at all entries, at twice the limit."""
@@ -313,7 +313,7 @@
         fleet.owner("waco-a").is_frozen = True
         [node] = fleet.non_owners("waco-a")
         started_s = trio.current_time()
-        await node.take(10)
+        await node.acquire(10)
         assert trio.current_time() - started_s < 0.3
         admitted = await flood([node], MINUTE_S, 1, 0.05)
         assert 0 < admitted <= 0.02 * RATE
@@ -349,13 +349,13 @@
         await fleet.run(nursery)
         [node] = fleet.non_owners("waco-a")
         for _ in range(4):
-            assert isinstance(await node.take(0), Charge)
+            assert isinstance(await node.acquire(0), Charge)
         node.is_agent_stopped = True
         owner = fleet.owner("waco-a")
         await trio.sleep(USED_SLOT_TTL_S - 1)
-        assert isinstance(await owner.take(0), NotRun)
+        assert isinstance(await owner.acquire(0), NotRun)
         await trio.sleep(1.5)
-        assert isinstance(await owner.take(0), Charge)
+        assert isinstance(await owner.acquire(0), Charge)
 
 
 class TestShares:
--- a/tests/process/test_orders.py
+++ b/tests/process/test_orders.py
@@ -2,7 +2,7 @@
 
 import pytest
 import trio
-from tests.process.test_leases import TAKE_OVER_S, run_region
+from tests.process.test_leases import TAKEOVER_TIMEOUT_S, run_region
 
 from rosemaryknot.connection.order_client import HttpOrderClient
 from rosemaryknot.process.orders import (
@@ -262,7 +262,7 @@
             if additive_first:
                 refused = await duty.sender.release(holders.target, "e0")
                 assert refused == OrderRefused(NOT_RECORDED)
-                assert await duty.lease.note_leaving(["e0"])
+                assert await duty.lease.record_draining(["e0"])
             second = await holders.send_paused_order(
                 first, "release", duty.sender.release, holders.target, "e0"
             )
@@ -304,7 +304,7 @@
                 await trio.sleep(0.1)
             took_s = trio.current_time() - begin_s
             await trio.sleep(60.0)
-            return took_s, len(holders.live_instances()), holders.region.most_holders
+            return took_s, len(holders.live_instances()), holders.region.max_holders
 
         took_s, live_instances, max_holders = run_holders(
             scenario, checks_fencing=checks_fencing, engines=1
@@ -334,7 +334,7 @@
 
         for checks_fencing, min_s, max_s in ((True, 0.0, 4.0), (False, 4.9, 7.0)):
             takeover_s, started_s = run_holders(scenario, checks_fencing=checks_fencing)
-            assert takeover_s <= TAKE_OVER_S
+            assert takeover_s <= TAKEOVER_TIMEOUT_S
             assert min_s <= started_s <= max_s
 
     def test_outage_while_holding(self):
@@ -347,7 +347,7 @@
         async def scenario(holders):
             first = await holders.wait_for_settled()
             duty = holders.duties[first]
-            held_s = duty.lease.left_s()
+            held_s = duty.lease.remaining_s()
             holders.region.platform.faults.outage = "refuse"
             await trio.sleep(held_s)
             outcomes = [
--- /dev/null
+++ b/tests/process/test_store_watcher.py
@@ -0,0 +1,70 @@
+"""Tests of watching a kind of object while the store is slow."""
+
+import random
+
+import pytest
+import trio
+
+from rosemaryknot.process.store_watcher import StoreWatcher
+from rosemaryknot.values.platform import TIMEOUT, Listed, PlatformFailed
+from rosemaryknot.values.store_changes import Changes
+
+
+class SlowStore:
+    """A store whose changes take longer than the call timeout; lists do not."""
+
+    def __init__(self):
+        self.returned_s = float("-inf")
+        self.calls = []
+
+    async def list_objects(self, kind):
+        self.calls.append("list")
+        return Listed(9)
+
+    async def changes(self, kind, since, wait_s):
+        self.calls.append("changes")
+        if wait_s and since == 9:
+            return Changes(9)
+        await trio.sleep(2.0 + wait_s)
+        return PlatformFailed(TIMEOUT)
+
+
+@pytest.fixture
+def watch_steps(autojump_clock):
+    """Return a function that watches a slow store for a number of steps."""
+
+    async def steps(count, is_single):
+        store = SlowStore()
+        rng = random.Random(1)
+        watcher = StoreWatcher(
+            store, "config", lambda listed: None, print, rng, is_single
+        )
+        watcher.revision = 5
+        for _ in range(count):
+            await watcher.step()
+        return store, watcher
+
+    return steps
+
+
+class TestSlowResponses:
+    async def test_changes_that_always_time_out(self, watch_steps):
+        """Guards against a node that requests ever more versions and receives none."""
+        store, watcher = await watch_steps(3, is_single=True)
+        assert store.calls == ["changes", "list", "changes"]
+        assert watcher.revision == 9 and not watcher.is_unreachable()
+
+    async def test_many_objects_are_not_listed_after_timeout(self, watch_steps):
+        """A timeout causes no list of many objects, which is larger than changes."""
+        store, _ = await watch_steps(3, is_single=False)
+        assert store.calls == ["changes"] * 3
+
+    async def test_has_call_since_before(self, watch_steps, nursery):
+        store, watcher = await watch_steps(0, is_single=False)
+        assert not watcher.has_call_since_before(trio.current_time())
+        nursery.start_soon(watcher.step)
+        await trio.sleep(1.0)
+        assert watcher.has_call_since_before(trio.current_time() - 0.5)
+        assert not watcher.has_call_since_before(trio.current_time() - 1.5)
+        await trio.sleep(9.0)
+        assert not watcher.has_call_since_before(trio.current_time())
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission, in virtual time."""
+"""Tests of admission control, in virtual time."""
 
 import pytest
 import trio
@@ -10,7 +10,7 @@
 
 
 async def fill(admission, customer, count):
-    """Admit requests until the customer would have to wait; return its slots."""
+    """Admit requests until the customer would have to wait; return the slots."""
     slots = []
     while len(slots) < count and admission.may_start(customer):
         slots.append(await admission.admit(customer, "s", INF, INF))
@@ -18,10 +18,11 @@
 
 
 class TestAdmission:
-    async def test_flood_leaves_room_for_others(self, autojump_clock):
-        """One customer sends more than there is room for.
+    async def test_one_customer_cannot_hold_all_slots(self, autojump_clock):
+        """One customer sends more requests than there are slots.
 
-        It fills four fifths; the first request of another one starts at once.
+        It acquires four fifths of them; the first request of another customer starts
+        immediately.
         """
         admission = Admission(AdmissionLimits(max_in_flight=100))
         slots = await fill(admission, "flood", 1000)
@@ -30,9 +31,11 @@
         assert isinstance(await admission.admit("small", "s", INF, INF), Slot)
         assert trio.current_time() == before_s
 
-    async def test_a_free_slot_goes_to_who_holds_least(self, nursery, autojump_clock):
+    async def test_free_slot_goes_to_customer_with_fewest(
+        self, nursery, autojump_clock
+    ):
         admission = Admission(AdmissionLimits(max_in_flight=3, max_wait_s=10.0))
-        slots = [admission.take("flood", "s") for _ in range(3)]
+        slots = [admission.acquire("flood", "s") for _ in range(3)]
         started = []
 
         async def request(customer):
@@ -46,7 +49,9 @@
         await trio.sleep(0.1)
         assert started == ["small"]
 
-    async def test_full_queue_pushes_out_the_floods_own(self, nursery, autojump_clock):
+    async def test_full_queue_evicts_newest_of_longest_queue(
+        self, nursery, autojump_clock
+    ):
         limits = AdmissionLimits(max_in_flight=1, max_waiting=4, max_wait_s=10.0)
         admission = Admission(limits)
         await admission.admit("flood", "s", INF, INF)
@@ -64,8 +69,8 @@
         assert ends["f3"].reason == Reason.OVERLOADED
         assert len(admission.waiting["small"]) == 1
 
-    async def test_refuses_what_would_pass_its_deadline(self, autojump_clock):
-        """The wait to be expected is longer than the caller waits: said at once."""
+    async def test_refuses_request_that_would_miss_its_deadline(self, autojump_clock):
+        """The expected wait exceeds the deadline: the refusal is immediate."""
         admission = Admission(AdmissionLimits(max_in_flight=1))
         slot = await admission.admit("a", "s", INF, INF)
         await trio.sleep(60.0)
@@ -94,8 +99,8 @@
         assert isinstance(await admission.admit("a", "s", 2, INF), Slot)
         assert (await admission.admit("a", "s", 2, INF)).reason == Reason.LIMIT_REACHED
 
-    async def test_cancelled_waiter_keeps_nothing(self, nursery, autojump_clock):
-        """A caller hangs up at the moment at which its request gets the slot."""
+    async def test_cancelled_waiter_releases_its_slot(self, nursery, autojump_clock):
+        """A caller disconnects at the moment at which its request gets the slot."""
         admission = Admission(AdmissionLimits(max_in_flight=1, max_wait_s=10.0))
         slot = await admission.admit("a", "s", INF, INF)
         scope = trio.CancelScope()
@@ -110,5 +115,5 @@
         slot.release()
         await trio.sleep(0.1)
         assert admission.in_flight == 0
-        assert not admission.present
+        assert not admission.in_flight_or_waiting
         assert not admission.held
--- a/tests/request/test_at_most_once.py
+++ b/tests/request/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""The entry's side of at-most-once execution, alone and over owned shards."""
+"""Tests of at-most-once execution at the entry, alone and with shard owners."""
 
 from collections import Counter
 
@@ -42,17 +42,17 @@
 
 
 class LocalAgent:
-    """Calls the handlers of one node of a `FakeCluster`, as its entry does."""
+    """Link that calls the handlers of one node of a `FakeCluster`."""
 
     def __init__(self, cluster, name):
         self.cluster = cluster
         self.name = name
-        self.is_gone = False
+        self.is_unreachable = False
 
     async def call(self, message, timeout_s):
         with trio.move_on_after(timeout_s):
             is_too_large = len(encode_message(message)) > MAX_FRAME_BYTES
-            if self.is_gone or is_too_large:
+            if self.is_unreachable or is_too_large:
                 await trio.sleep_forever()
             handlers = self.cluster.members[self.name].handlers
             return await handlers.by_type[type(message)](message, None)
@@ -60,7 +60,7 @@
 
 
 class Ledger:
-    """A plain service that counts how often each id ran."""
+    """Plain service that counts the executions of each id."""
 
     def __init__(self):
         self.runs = Counter()
@@ -76,8 +76,8 @@
         return send
 
 
-class Bench:
-    """Entries of a cluster and the ledger behind them."""
+class Harness:
+    """Entries of a cluster and the ledger of their service."""
 
     def __init__(self, cluster, safeguards=None):
         self.cluster = cluster
@@ -94,125 +94,127 @@
         return await entry.run(request, self.ledger.sender(request, **options))
 
 
-async def bench_of(nursery, safeguards=None):
+async def start_harness(nursery, safeguards=None):
     cluster = FakeCluster(nursery)
     await cluster.start(*NODES)
-    bench = Bench(cluster, safeguards)
+    harness = Harness(cluster, safeguards)
     await trio.sleep(5)
-    return bench
+    return harness
 
 
 class TestAtMostOnce:
-    async def test_answer_and_its_repeat(self, autojump_clock, nursery):
-        bench = await bench_of(nursery)
-        one = await bench.run("a-1", request_of(attempt=1))
+    async def test_retry_gets_the_same_response(self, autojump_clock, nursery):
+        harness = await start_harness(nursery)
+        one = await harness.run("a-1", request_of(attempt=1))
         await trio.sleep(1)
-        two = await bench.run("c-1", request_of(attempt=2))
+        two = await harness.run("c-1", request_of(attempt=2))
         assert one == two == Answered(201, [], b"slot 4")
-        assert bench.ledger.runs["k"] == 1
+        assert harness.ledger.runs["k"] == 1
 
-    async def test_paused_entry_holds_the_right_alone(self, autojump_clock, nursery):
-        """Trap B: an entry is paused for minutes between its grant and its send.
+    async def test_suspended_entry_is_the_only_one_to_send(
+        self, autojump_clock, nursery
+    ):
+        """An entry is suspended for minutes between the grant and its send.
 
-        The caller repeats at other entries meanwhile. They are told that it runs,
-        then that it is unknown, and never get the right. The paused entry wakes and
-        sends: that is the one run.
+        Meanwhile the caller retries at other entries. They receive "running", then
+        "unknown", and never a grant. The suspended entry resumes and sends the request,
+        which is the only execution.
         """
-        bench = await bench_of(nursery)
+        harness = await start_harness(nursery)
         wake = trio.Event()
         request = request_of(attempt=1)
         nursery.start_soon(
-            lambda: bench.run("a-1", request, before=wake), name="paused entry"
+            lambda: harness.run("a-1", request, before=wake), name="suspended entry"
         )
         await trio.sleep(10)
-        assert isinstance(await bench.run("b-1", request_of(attempt=2)), Running)
+        assert isinstance(await harness.run("b-1", request_of(attempt=2)), Running)
         await trio.sleep(120)
-        late = await bench.run("b-1", request_of(attempt=3))
+        late = await harness.run("b-1", request_of(attempt=3))
         assert late == Unknown(Reason.TIMED_OUT)
         wake.set()
         await trio.sleep(10)
-        assert isinstance(await bench.run("b-1", request_of(attempt=4)), Answered)
-        assert bench.ledger.runs["k"] == 1
+        assert isinstance(await harness.run("b-1", request_of(attempt=4)), Answered)
+        assert harness.ledger.runs["k"] == 1
 
-    async def test_refusal_closes_what_waits_elsewhere(self, autojump_clock, nursery):
-        """Trap A: attempt 1 waits at entry a-1 for its turn.
+    async def test_refusal_closes_queued_earlier_attempts(
+        self, autojump_clock, nursery
+    ):
+        """An earlier attempt must not run after a later one was refused as "not run".
 
-        Its caller gives up and sends attempt 2 to entry b-1, which is overloaded
-        and refuses it "not run". Then attempt 1 gets its turn. It must not run;
-        with the closing turned off it does.
+        Attempt 1 is queued at entry a-1. Its caller gives up and sends attempt 2 to
+        entry b-1, which is overloaded and refuses it. Then attempt 1 is served. With
+        the safeguard that closes attempts turned off, it runs.
         """
         for is_on in (False, True):
             async with trio.open_nursery() as inner:
-                bench = await bench_of(inner, Safeguards(close_attempts=is_on))
+                harness = await start_harness(inner, Safeguards(close_attempts=is_on))
                 waiting = request_of(attempt=1)
                 await trio.sleep(1)
-                refused = await bench.entries["b-1"].refuse(
+                refused = await harness.entries["b-1"].refuse(
                     request_of(attempt=2), Reason.OVERLOADED, 1.0
                 )
                 assert refused == NotRun(Reason.OVERLOADED, 1.0)
-                late = await bench.run("a-1", waiting)
+                late = await harness.run("a-1", waiting)
                 assert isinstance(late, NotRun) == is_on
-                assert bench.ledger.runs["k"] == (0 if is_on else 1)
+                assert harness.ledger.runs["k"] == (0 if is_on else 1)
                 await trio.sleep(1)
-                third = await bench.run("a-1", request_of(attempt=3))
+                third = await harness.run("a-1", request_of(attempt=3))
                 assert isinstance(third, Answered)
                 inner.cancel_scope.cancel()
 
-    async def test_refusal_without_a_number_says_that_the_key_is_closed(
-        self, autojump_clock, nursery
-    ):
-        """A caller who numbers nothing is refused in an overload.
+    async def test_refusal_without_number_closes_key(self, autojump_clock, nursery):
+        """A request without an attempt number is refused because of an overload.
 
-        The refusal has to close the key for good. It says when to come back, and that
-        it takes a new key; so does each refusal of the same key that follows.
+        The refusal has to close the key permanently. It says when to retry and that a
+        retry needs a new key, and so does each later refusal of the same key.
         """
-        bench = await bench_of(nursery)
-        entry = bench.entries["b-1"]
+        harness = await start_harness(nursery)
+        entry = harness.entries["b-1"]
         refused = await entry.refuse(request_of(), Reason.OVERLOADED, 1.2)
         assert (refused.reason, refused.retry_after_s) == (Reason.OVERLOADED, 1.2)
         assert "new Idempotency-Key" in refused.detail and "2 s" in refused.detail
         for attempt in (0, 1, 2):
-            again = await bench.run("a-1", request_of(attempt=attempt))
+            again = await harness.run("a-1", request_of(attempt=attempt))
             assert (again.reason, again.retry_after_s) == (Reason.ATTEMPT_CLOSED, 0.0)
             assert "new Idempotency-Key" in again.detail
             assert "higher" not in again.detail
-        assert bench.ledger.runs == {}
+        assert harness.ledger.runs == {}
 
-    async def test_refusal_of_a_numbered_attempt_keeps_the_key(
+    async def test_refusal_of_numbered_attempt_keeps_key_open(
         self, autojump_clock, nursery
     ):
-        bench = await bench_of(nursery)
-        entry = bench.entries["b-1"]
+        harness = await start_harness(nursery)
+        entry = harness.entries["b-1"]
         refused = await entry.refuse(request_of(attempt=2), Reason.OVERLOADED, 1.2)
         assert refused.retry_after_s == 1.2
-        closed = await bench.run("a-1", request_of(attempt=2))
+        closed = await harness.run("a-1", request_of(attempt=2))
         assert "higher Rosemaryknot-Attempt" in closed.detail
-        third = await bench.run("a-1", request_of(attempt=3))
+        third = await harness.run("a-1", request_of(attempt=3))
         assert isinstance(third, Answered)
 
-    async def test_unsent_request_without_a_number_is_told_of_its_key(
+    async def test_unsent_request_without_number_requires_new_key(
         self, autojump_clock, nursery
     ):
-        bench = await bench_of(nursery)
+        harness = await start_harness(nursery)
 
         async def send():
             return NotSent(Reason.NO_SERVER)
 
-        unsent = await bench.entries["a-1"].run(request_of(), send)
+        unsent = await harness.entries["a-1"].run(request_of(), send)
         assert unsent.reason == Reason.NO_SERVER
         assert unsent.retry_after_s > 0
         assert "new Idempotency-Key" in unsent.detail
 
-    async def test_refusal_tells_what_already_ran(self, autojump_clock, nursery):
-        bench = await bench_of(nursery)
-        await bench.run("a-1", request_of(attempt=1))
+    async def test_refusal_returns_stored_response(self, autojump_clock, nursery):
+        harness = await start_harness(nursery)
+        await harness.run("a-1", request_of(attempt=1))
         await trio.sleep(1)
-        refused = await bench.entries["b-1"].refuse(
+        refused = await harness.entries["b-1"].refuse(
             request_of(attempt=2), Reason.OVERLOADED, 1.0
         )
         assert refused == Answered(201, [], b"slot 4")
 
-    async def test_refusal_of_a_first_attempt_costs_no_call(
+    async def test_refusal_of_first_attempt_needs_no_call(
         self, autojump_clock, nursery
     ):
         agent = ScriptedAgent([])
@@ -221,65 +223,65 @@
         assert refused == NotRun(Reason.OVERLOADED, 1.0)
         assert agent.calls == []
 
-    async def test_unreachable_owner_is_no_false_not_run(self, autojump_clock, nursery):
-        """The agent does not answer, so nothing can be claimed or closed.
+    async def test_unreachable_owner_gives_no_false_not_run(
+        self, autojump_clock, nursery
+    ):
+        """The agent does not respond, so nothing can be claimed or closed.
 
-        Only a declared attempt 1 may be told "not run"; a later one may repeat what
-        ran. A refusal of a later one is unknown as well.
+        Only a declared attempt 1 may receive "not run", as a later one may repeat a
+        request that ran. The refusal of a later one is "unknown" as well.
         """
-        bench = await bench_of(nursery)
-        bench.entries["a-1"].agent.is_gone = True
+        harness = await start_harness(nursery)
+        harness.entries["a-1"].agent.is_unreachable = True
         outcomes = [
-            await bench.run("a-1", request_of(f"k{n}", attempt=n)) for n in (0, 1, 2)
+            await harness.run("a-1", request_of(f"k{n}", attempt=n)) for n in (0, 1, 2)
         ]
         assert [type(outcome) for outcome in outcomes] == [Unknown, NotRun, Unknown]
-        refused = await bench.entries["a-1"].refuse(
+        refused = await harness.entries["a-1"].refuse(
             request_of("k9", attempt=2), Reason.OVERLOADED, 1.0
         )
         assert refused == Unknown(
             Reason.NOT_PROVEN, "The attempts could not be closed."
         )
-        assert not bench.ledger.runs
+        assert not harness.ledger.runs
 
-    async def test_owner_death_around_the_send(self, autojump_clock, nursery):
-        """The owner dies after its grant, while the request is at the service.
+    async def test_owner_fails_during_the_send(self, autojump_clock, nursery):
+        """The owner fails after its grant, while the request is at the service.
 
-        The answer still reaches the caller, and the successor, which found the open
-        grant in a copy, takes the report. A repeat gets the same answer.
+        The response still reaches the caller. The new owner has the open grant from a
+        replica and accepts the report. A retry receives the same response.
         """
-        bench = await bench_of(nursery)
-        key = bench.cluster.key_owned_by("a-1")
+        harness = await start_harness(nursery)
+        key = harness.cluster.key_owned_by("a-1")
         outcomes = []
 
         async def run():
             request = request_of(key, attempt=1)
-            outcomes.append(await bench.run("b-1", request, delay_s=1.0))
+            outcomes.append(await harness.run("b-1", request, delay_s=1.0))
 
         nursery.start_soon(run)
         await trio.sleep(0.5)
-        bench.cluster.kill("a-1", ServerState.TERMINATED)
+        harness.cluster.kill("a-1", ServerState.TERMINATED)
         await trio.sleep(30)
         assert outcomes == [Answered(201, [], b"slot 4")]
-        repeat = await bench.run("c-1", request_of(key, attempt=2))
+        repeat = await harness.run("c-1", request_of(key, attempt=2))
         assert repeat == outcomes[0]
-        assert bench.ledger.runs[key] == 1
+        assert harness.ledger.runs[key] == 1
 
-    async def test_unsent_request_is_not_run_and_comes_again(
-        self, autojump_clock, nursery
-    ):
-        bench = await bench_of(nursery)
+    async def test_unsent_request_can_be_retried(self, autojump_clock, nursery):
+        harness = await start_harness(nursery)
 
         async def send():
             return NotSent(Reason.NO_SERVER)
 
-        outcome = await bench.entries["a-1"].run(request_of(attempt=1), send)
+        outcome = await harness.entries["a-1"].run(request_of(attempt=1), send)
         assert isinstance(outcome, NotRun)
-        again = await bench.run("b-1", request_of(attempt=2))
+        again = await harness.run("b-1", request_of(attempt=2))
         assert isinstance(again, Answered)
 
 
 class ScriptedAgent:
-    """Answers calls by a script and notes them."""
+    """Agent that replies from a script and records the calls."""
 
     def __init__(self, replies):
         self.replies = replies
@@ -295,11 +297,13 @@
 
 
 class TestLateGrant:
-    async def test_claim_without_answer_is_given_up(self, autojump_clock, nursery):
-        """The claim's answer does not come in time, though it was granted.
+    async def test_claim_without_reply_is_reported_unused(
+        self, autojump_clock, nursery
+    ):
+        """A claim is granted, but the reply does not arrive in time.
 
-        The entry sends nothing, also when the grant comes later, and reports the
-        claim as not sent, so that the id is not held for ever.
+        The entry does not send the request, not even if the grant arrives later. It
+        reports the claim as not sent, so that the id is not blocked indefinitely.
         """
         agent = ScriptedAgent([None])
         entry = AtMostOnce(agent)
@@ -315,7 +319,7 @@
         assert isinstance(claim, ClaimRequest) and isinstance(report, ResultRecord)
         assert (report.claim, report.result) == (claim.claim, "not_sent")
 
-    async def test_caller_that_leaves_during_the_send_makes_it_unknown(
+    async def test_caller_disconnect_during_send_gives_unknown(
         self, autojump_clock, nursery
     ):
         agent = ScriptedAgent([ClaimGranted("any")])
@@ -326,13 +330,13 @@
 
 
 class TestReports:
-    async def test_planned_stop_waits_for_the_last_result(
+    async def test_graceful_shutdown_waits_for_last_result(
         self, autojump_clock, nursery
     ):
-        """An entry stops by plan right after an answer, while its agent is slow.
+        """An entry shuts down right after a response, while its agent is slow.
 
-        The result is taken before the process ends. Lost, the id would answer
-        "unknown" though its caller was told that the slot is booked.
+        The result is stored before the process ends. If it were lost, a retry would
+        receive "unknown" although the caller has received a successful response.
         """
         agent = ScriptedAgent([ClaimGranted("any"), None, ResultStored(True)])
         entry = AtMostOnce(agent)
@@ -344,39 +348,39 @@
         assert await entry.reports.wait_empty(5.0)
         assert [type(call) for call in agent.calls[1:]] == [ResultRecord] * 2
 
-    async def test_answer_too_large_to_keep_is_reported_without_its_body(
+    async def test_oversized_response_is_reported_without_body(
         self, autojump_clock, nursery
     ):
-        """A service answers with more than a message may carry.
+        """A service responds with a larger body than a message may carry.
 
-        Sent whole, the report would break the link to the agent again and again,
+        A report with the complete body would break the link to the agent repeatedly,
         and with it every other claim.
         """
-        bench = await bench_of(nursery)
+        harness = await start_harness(nursery)
         request = request_of(attempt=1)
 
         async def send():
             return Answered(200, [], bytes(9 * 1024 * 1024))
 
-        answer = await bench.entries["a-1"].run(request, send)
+        answer = await harness.entries["a-1"].run(request, send)
         assert len(answer.body) == 9 * 1024 * 1024
         await trio.sleep(1)
-        repeat = await bench.run("b-1", request_of(attempt=2))
+        repeat = await harness.run("b-1", request_of(attempt=2))
         assert repeat.reason == Reason.ANSWER_LOST
-        assert not bench.ledger.runs
+        assert not harness.ledger.runs
 
 
 class TestArrivalNumbers:
-    async def test_request_read_right_after_a_pause_counts_as_old(self, autojump_clock):
-        """An entry wakes from a pause and learns of a takeover.
+    async def test_request_read_after_suspension_counts_as_old(self, autojump_clock):
+        """An entry resumes from a suspension and receives the number of a takeover.
 
-        In the same moment it reads a request that lay in its socket since before.
-        The request must count as older than the takeover, as it may be closed.
+        At the same moment it reads a request that was in its socket before. The request
+        must count as older than the takeover, as its attempt may be closed.
         """
         numbers = ArrivalNumbers()
-        numbers.learn(3)
+        numbers.record(3)
         await trio.sleep(10)
-        numbers.learn(4)
+        numbers.record(4)
         assert numbers.at(trio.current_time()) == 3
         await trio.sleep(2)
         assert numbers.at(trio.current_time()) == 4
--- a/tests/request/test_budget.py
+++ b/tests/request/test_budget.py
@@ -1,4 +1,4 @@
-"""The entry's part in the limits, against an owner that answers as told."""
+"""Tests of customer limits at an entry, against a scripted owner."""
 
 import math
 
@@ -19,24 +19,30 @@
 
 
 class Owner:
-    """Grants what is needed, or nothing; keeps the asks."""
+    """Owner that grants what is needed, or nothing, and records the budget requests."""
 
     def __init__(self):
-        self.asks = []
+        self.requests = []
         self.is_silent = False
         self.retry_after_s = 0.0
 
-    async def call(self, ask, timeout_s):
-        self.asks.append(ask)
+    async def call(self, request, timeout_s):
+        self.requests.append(request)
         if self.is_silent:
             await trio.sleep(timeout_s)
             return CallFailed("timeout", maybe_handled=True)
         await trio.sleep(0.001)
         if self.retry_after_s:
             return BudgetGrant(True, 0.0, 0, 1.0, self.retry_after_s, 100.0, 0.01)
-        slots = max(ask.needed_slots, 2 * ask.needed_slots)
+        slots = max(request.needed_slots, 2 * request.needed_slots)
         return BudgetGrant(
-            True, ask.needed_tokens + ask.wanted_tokens, slots, 1.0, 0.0, 100.0, 0.01
+            True,
+            request.needed_tokens + request.wanted_tokens,
+            slots,
+            1.0,
+            0.0,
+            100.0,
+            0.01,
         )
 
 
@@ -52,110 +58,112 @@
     return budgets
 
 
-async def take(entry, tokens=10.0, limit=LIMIT, max_wait_s=0.0):
-    return await entry.take(CUSTOMER, SERVICE, limit, tokens, max_wait_s)
+async def acquire(entry, tokens=10.0, limit=LIMIT, max_wait_s=0.0):
+    return await entry.acquire(CUSTOMER, SERVICE, limit, tokens, max_wait_s)
 
 
 class TestEntryBudgets:
-    async def test_admits_from_the_lease(self, autojump_clock, entry, owner):
-        """A customer sends a steady stream: few requests wait for the owner."""
+    async def test_admits_from_lease(self, autojump_clock, entry, owner):
+        """In a steady stream of requests, few wait for the owner."""
         waited = 0
         for _ in range(400):
             started_s = trio.current_time()
-            charge = await take(entry)
+            charge = await acquire(entry)
             waited += trio.current_time() > started_s
             assert isinstance(charge, Charge)
             charge.settle(10.0)
             await trio.sleep(0.01)
         assert waited < 40
-        assert len(owner.asks) < 80
+        assert len(owner.requests) < 80
 
     async def test_refused_requests_cost_no_call(self, autojump_clock, entry, owner):
-        """The owner has refused; a flood of requests comes before its time.
+        """Many requests arrive before the time that the owner named in a refusal.
 
-        All are refused at once, with the time that is left, and the owner is asked
-        a few times a second only.
+        All are refused immediately with the remaining time, and the owner receives
+        only a few budget requests per second.
         """
         owner.retry_after_s = 10.0
-        first = await take(entry)
+        first = await acquire(entry)
         assert isinstance(first, NotRun)
-        asks = len(owner.asks)
+        requests = len(owner.requests)
         for _ in range(100):
             started_s = trio.current_time()
-            refusal = await take(entry)
+            refusal = await acquire(entry)
             assert trio.current_time() - started_s < 0.01
             assert 8.9 < refusal.retry_after_s <= 10.0
             await trio.sleep(0.01)
-        assert len(owner.asks) - asks <= 10
+        assert len(owner.requests) - requests <= 10
 
-    async def test_larger_request_is_told_a_later_time(
+    async def test_larger_request_gets_later_retry_time(
         self, autojump_clock, entry, owner
     ):
         owner.retry_after_s = 1.0
-        await take(entry, 10.0)
-        refusal = await take(entry, 110.0)
+        await acquire(entry, 10.0)
+        refusal = await acquire(entry, 110.0)
         assert refusal.retry_after_s == pytest.approx(2.0, abs=0.01)
 
-    async def test_unused_tokens_go_back(self, autojump_clock, entry, owner):
-        charge = await take(entry, 1000.0)
+    async def test_unused_tokens_are_returned(self, autojump_clock, entry, owner):
+        charge = await acquire(entry, 1000.0)
         charge.settle(100.0)
         charge.settle(100.0)
         await trio.sleep(20)
-        granted = 1000.0 + sum(ask.wanted_tokens for ask in owner.asks)
-        returned = sum(ask.returned_tokens for ask in owner.asks)
+        granted = 1000.0 + sum(request.wanted_tokens for request in owner.requests)
+        returned = sum(request.returned_tokens for request in owner.requests)
         assert granted - returned == pytest.approx(100.0, abs=1e-6)
         assert not entry.accounts[CUSTOMER, SERVICE].tokens
 
     async def test_more_used_than_charged(self, autojump_clock, entry, owner):
-        """The prompt was longer than estimated: the owner is told of the debt."""
-        charge = await take(entry, 100.0)
+        """The prompt was longer than estimated: the debt is reported to the owner."""
+        charge = await acquire(entry, 100.0)
         charge.settle(150.0)
         await trio.sleep(20)
-        granted = 100.0 + sum(ask.wanted_tokens for ask in owner.asks)
-        returned = sum(ask.returned_tokens for ask in owner.asks)
+        granted = 100.0 + sum(request.wanted_tokens for request in owner.requests)
+        returned = sum(request.returned_tokens for request in owner.requests)
         assert granted - returned == pytest.approx(150.0, abs=1e-6)
 
-    async def test_unlimited_asks_nothing(self, autojump_clock, entry, owner):
-        charge = await take(entry, 10.0, Limit())
+    async def test_unlimited_customer_needs_no_budget_request(
+        self, autojump_clock, entry, owner
+    ):
+        charge = await acquire(entry, 10.0, Limit())
         charge.settle(5.0)
-        assert not owner.asks
+        assert not owner.requests
         assert not entry.accounts
 
     async def test_silent_owner(self, autojump_clock, entry, owner):
-        """The owner falls silent while requests run.
+        """The owner stops responding while requests are in flight.
 
-        One request waits for its answer; the others are admitted by the fixed share
-        or refused at once. The slots of the requests in flight still count.
+        One request waits for its response; the others are admitted by the fixed share
+        or refused immediately. The slots of the requests in flight still count.
         """
-        charges = [await take(entry, 0.0) for _ in range(3)]
+        charges = [await acquire(entry, 0.0) for _ in range(3)]
         await trio.sleep(2)
         owner.is_silent = True
         await trio.sleep(2)
         started_s = trio.current_time()
-        refusal = await take(entry, 0.0)
+        refusal = await acquire(entry, 0.0)
         assert trio.current_time() == started_s
         assert isinstance(refusal, NotRun)
         for charge in charges:
             charge.settle()
-        first, second = await take(entry, 50.0), await take(entry, 50.0)
+        first, second = await acquire(entry, 50.0), await acquire(entry, 50.0)
         assert isinstance(first, Charge)
         assert isinstance(second, NotRun)
         first.settle(50.0)
         owner.is_silent = False
         await trio.sleep(1)
-        assert isinstance(await take(entry, 50.0), Charge)
+        assert isinstance(await acquire(entry, 50.0), Charge)
 
-    async def test_waits_in_turn(self, autojump_clock, entry, owner):
-        """The budget is there in two seconds; a large and a small request come.
+    async def test_requests_wait_in_order(self, autojump_clock, entry, owner):
+        """A large and a small request arrive two seconds before budget is available.
 
-        The large one waits and the small one behind it, in this order, without
-        slots. One that may not wait as long is refused at once.
+        They wait in this order and hold no slots. A request that may not wait as long
+        is refused immediately.
         """
         owner.retry_after_s = 2.0
         order = []
 
         async def send(tokens):
-            order.append((tokens, await take(entry, tokens, max_wait_s=5.0)))
+            order.append((tokens, await acquire(entry, tokens, max_wait_s=5.0)))
 
         async with trio.open_nursery() as senders:
             senders.start_soon(send, 200.0)
@@ -165,7 +173,7 @@
             account = entry.accounts[CUSTOMER, SERVICE]
             assert (len(account.queue), account.used_slots) == (2, 0)
             started_s = trio.current_time()
-            refusal = await take(entry, 10.0, max_wait_s=1.0)
+            refusal = await acquire(entry, 10.0, max_wait_s=1.0)
             assert trio.current_time() == started_s
             assert refusal.retry_after_s > 2.5
             await trio.sleep(1.0)
@@ -173,16 +181,19 @@
         assert [tokens for tokens, _ in order] == [200.0, 10.0]
         assert all(isinstance(charge, Charge) for _, charge in order)
 
-    async def test_given_up_is_told_at_once(self, autojump_clock, entry, owner):
-        """A request waits for a second, and then hears that it would take a minute.
+    async def test_longer_wait_is_refused_immediately(
+        self, autojump_clock, entry, owner
+    ):
+        """After a request has waited for a second, its wait is extended to a minute.
 
-        It is refused then, and those behind it, and not when their time is over.
+        It and the requests behind it are refused then, and not at the end of their
+        maximum wait.
         """
         owner.retry_after_s = 2.0
         refused = []
 
         async def send():
-            refused.append(await take(entry, 50.0, max_wait_s=5.0))
+            refused.append(await acquire(entry, 50.0, max_wait_s=5.0))
 
         started_s = trio.current_time()
         async with trio.open_nursery() as senders:
@@ -198,20 +209,20 @@
         owner.retry_after_s = 4.0
         async with trio.open_nursery() as senders:
             for _ in range(MAX_WAITING):
-                senders.start_soon(lambda: take(entry, 0.1, max_wait_s=5.0))
+                senders.start_soon(lambda: acquire(entry, 0.1, max_wait_s=5.0))
             await trio.sleep(0.5)
             started_s = trio.current_time()
-            assert isinstance(await take(entry, 0.1, max_wait_s=5.0), NotRun)
+            assert isinstance(await acquire(entry, 0.1, max_wait_s=5.0), NotRun)
             assert trio.current_time() == started_s
             entry.is_stopping = lambda: True
         assert trio.current_time() - started_s < 0.5
 
-    async def test_forgets_idle_customers(self, autojump_clock, entry):
-        (await take(entry)).settle(10.0)
+    async def test_removes_idle_accounts(self, autojump_clock, entry):
+        (await acquire(entry)).settle(10.0)
         await trio.sleep(120)
         assert not entry.accounts
 
     async def test_limit_of_zero(self, autojump_clock, entry, owner):
-        refusal = await take(entry, 10.0, Limit(0, math.inf))
+        refusal = await acquire(entry, 10.0, Limit(0, math.inf))
         assert refusal.retry_after_s == 0.0
-        assert not owner.asks
+        assert not owner.requests
--- a/tests/request/test_engine_queue.py
+++ b/tests/request/test_engine_queue.py
@@ -1,4 +1,4 @@
-"""Fair queueing in front of the engines, in virtual time."""
+"""Tests of fair queueing in front of the engines, in virtual time."""
 
 import pytest
 import trio
@@ -10,7 +10,7 @@
     engine_capacity,
     fair_priority,
 )
-from rosemaryknot.request.service_queue import MAX_WAITING, Place
+from rosemaryknot.request.service_queue import MAX_WAITING, EnginePermit
 from rosemaryknot.values.outcomes import NotRun, Reason
 
 SERVICE = "kit-assistant"
@@ -18,7 +18,7 @@
 
 
 class Engines:
-    """An engine queue over a number of slots, and what was started in which order."""
+    """Engine queue over a number of slots, with a record of the start order."""
 
     def __init__(self, slots, nursery):
         self.slots = slots
@@ -28,13 +28,13 @@
 
     async def request(self, customer, held_s, cost=100, is_short=True):
         deadline_s = trio.current_time() + LATER_S
-        place = await self.queue.enter(customer, SERVICE, cost, is_short, deadline_s)
-        if not isinstance(place, Place):
+        permit = await self.queue.acquire(customer, SERVICE, cost, is_short, deadline_s)
+        if not isinstance(permit, EnginePermit):
             self.started.append((customer, "refused"))
             return
         self.started.append((customer, "short" if is_short else "long"))
         await trio.sleep(held_s)
-        place.leave()
+        permit.release()
 
     async def send(self, count, *args, **kwargs):
         for _ in range(count):
@@ -43,12 +43,12 @@
 
 
 class TestEngineQueue:
-    async def test_flood_waits_behind_itself(self, autojump_clock, nursery):
+    async def test_busy_customer_delays_only_itself(self, autojump_clock, nursery):
         """One customer sends two hundred requests, then another one sends eight.
 
-        The flood holds all places and the queue. The other customer's first
-        requests start at once, and the rest in turns with the flood's: it waits for
-        its own requests, and not for the two hundred.
+        The first customer holds all permits and fills the queue. The first requests of
+        the other customer start immediately and the rest alternate with those of the
+        first, so they do not wait for the two hundred.
         """
         engines = Engines(8, nursery)
         await engines.send(200, "large", 1.0)
@@ -59,7 +59,7 @@
         assert engines.started.count(("small", "short")) == 8
         assert len(engines.started) < 40
 
-    async def test_cost_counts_and_not_the_number(self, autojump_clock, nursery):
+    async def test_fairness_is_by_cost(self, autojump_clock, nursery):
         engines = Engines(16, nursery)
         await engines.send(200, "long answers", 1.0, cost=1000)
         await engines.send(200, "short answers", 1.0, cost=100)
@@ -76,11 +76,13 @@
         kinds = [kind for _, kind in engines.started]
         assert kinds == ["short"] * 5 + ["long"] * 3
 
-    async def test_full_queue_refuses_the_flood(self, autojump_clock, nursery):
-        """A flood fills the queue; another customer's requests still find room.
+    async def test_full_queue_evicts_requests_of_busy_customer(
+        self, autojump_clock, nursery
+    ):
+        """One customer fills the queue; another customer's requests are still queued.
 
-        The newest requests of the flood are given up for them, with an answer at
-        once and not after their wait.
+        The newest requests of the first customer are evicted for them. They are
+        refused immediately and not after their maximum wait.
         """
         engines = Engines(4, nursery)
         await engines.send(MAX_WAITING + 4, "large", 1.0)
@@ -95,20 +97,20 @@
         assert trio.current_time() == started_s
 
     async def test_deadline_that_cannot_be_met(self, autojump_clock, nursery):
-        """A request's deadline would pass in the queue: it is refused on arrival."""
+        """A request whose deadline would pass in the queue is refused on arrival."""
         engines = Engines(1, nursery)
         await engines.send(1, "large", 5.0)
         await trio.sleep(6)
         engines.queue.queue(SERVICE).mean_hold_s = 5.0
         await engines.send(20, "large", 5.0)
-        place = await engines.queue.enter(
+        permit = await engines.queue.acquire(
             "large", SERVICE, 100, True, trio.current_time() + 20
         )
-        assert isinstance(place, NotRun)
-        assert place.reason == Reason.DEADLINE_TOO_SHORT
-        assert place.retry_after_s > 0
+        assert isinstance(permit, NotRun)
+        assert permit.reason == Reason.DEADLINE_TOO_SHORT
+        assert permit.retry_after_s > 0
 
-    async def test_stop_answers_what_waits(self, autojump_clock, nursery):
+    async def test_shutdown_refuses_waiting_requests(self, autojump_clock, nursery):
         engines = Engines(2, nursery)
         nursery.start_soon(engines.queue.run)
         await engines.send(5, "large", 10.0)
@@ -116,7 +118,7 @@
         await trio.sleep(0.2)
         assert engines.started.count(("large", "refused")) == 3
 
-    async def test_caller_gives_up_in_the_queue(self, autojump_clock, nursery):
+    async def test_caller_cancels_while_queued(self, autojump_clock, nursery):
         engines = Engines(1, nursery)
         await engines.send(3, "large", 1.0)
         with trio.move_on_after(0.5):
@@ -128,33 +130,33 @@
 
 
 class TestEngineCapacity:
-    async def test_leaves_what_others_use(self, autojump_clock):
+    async def test_capacity_excludes_slots_used_by_others(self, autojump_clock):
         load = ServerLoad(LoadReport(20, 0, 32, 3.0, 0, trio.current_time()))
         assert engine_capacity([load]) == 12
         load.report.waiting = 40
         assert engine_capacity([load, ServerLoad()]) == 32
 
-    async def test_priority_falls_with_what_runs(self, autojump_clock, nursery):
-        """A flood's requests rank behind the first ones of another customer."""
+    async def test_priority_falls_with_running_requests(self, autojump_clock, nursery):
+        """Requests of a busy customer have lower priority than another's first ones."""
         queue = EngineQueue(lambda service: 8)
-        places = {"large": [], "small": []}
+        permits = {"large": [], "small": []}
 
-        async def enter(customer):
-            place = await queue.enter(customer, SERVICE, 1, True, LATER_S)
-            places[customer].append(place)
+        async def acquire(customer):
+            permit = await queue.acquire(customer, SERVICE, 1, True, LATER_S)
+            permits[customer].append(permit)
 
         for _ in range(20):
-            nursery.start_soon(enter, "large")
+            nursery.start_soon(acquire, "large")
             await trio.sleep(0.001)
-        await enter("small")
-        await enter("small")
-        for place in places["large"][:4]:
-            place.leave()
+        await acquire("small")
+        await acquire("small")
+        for permit in permits["large"][:4]:
+            permit.release()
         await trio.sleep(1)
-        ranks = [place.rank for place in places["large"]]
-        assert ranks[:8] == [0, 1, 2, 2, 3, 3, 3, 3]
-        assert min(ranks[8:]) >= 3
-        assert [place.rank for place in places["small"]] == [0, 1]
+        usage_levels = [permit.usage_level for permit in permits["large"]]
+        assert usage_levels[:8] == [0, 1, 2, 2, 3, 3, 3, 3]
+        assert min(usage_levels[8:]) >= 3
+        assert [permit.usage_level for permit in permits["small"]] == [0, 1]
         assert fair_priority(1, 0) < fair_priority(0, 1)
 
 
--- a/tests/request/test_standby.py
+++ b/tests/request/test_standby.py
@@ -7,7 +7,7 @@
 
 from rosemaryknot.connection.links import CallFailed, Handlers
 from rosemaryknot.process.drain import Drain
-from rosemaryknot.request.adoption import Adopter
+from rosemaryknot.request.adoption import GenerationAdopter
 from rosemaryknot.request.generation_table import GenerationTable
 from rosemaryknot.request.pickup import RemoteFinder, RemoteGeneration
 from rosemaryknot.request.standby import StandbyCopies
@@ -140,7 +140,7 @@
         )
         fleet.relay.table = GenerationTable()
         await trio.sleep(0.01)
-        adopter = Adopter(fleet.relay, other, Drain(), nursery, Handlers())
+        adopter = GenerationAdopter(fleet.relay, other, Drain(), nursery, Handlers())
         assert (await adopter.handle_adopt(order, None)).accepted
         adopted = fleet.relay.table.find("estimator-1", "r1")
         assert adopted.lineage == generation.lineage
@@ -180,7 +180,7 @@
         fleet.servers.mark_leaving("e0", 0.0, "notice")
         copy.request = "r8"
         order = AdoptGeneration(encode_message(copy))
-        adopter = Adopter(fleet.relay, copies, Drain(), nursery, Handlers())
+        adopter = GenerationAdopter(fleet.relay, copies, Drain(), nursery, Handlers())
         assert (await adopter.handle_adopt(order, None)).accepted
         adopted = fleet.relay.table.find("estimator-1", "r8")
         outcome = await adopted.wait_finished()
