--- a/benchmarks/gateway_load.py
+++ b/benchmarks/gateway_load.py
@@ -48,17 +48,17 @@
     "GatewayExchange.run": "reports",
     "GatewayExchange.run_loads": "loads",
     "MessageLink.handle": "messages handled",
-    "MessageLink.until_end": "links read and written",
+    "MessageLink.run_until_end": "links read and written",
     "MessageLink.send_heartbeats": "heartbeats",
     "PeerSet.send": "messages sent",
     "PeerSet.run_peer": "looks at links",
-    "PeerSet.run_table": "membership",
+    "PeerSet.maintain_table": "membership",
     "Lease.run": "lease",
     "StoreWatcher.run": "store",
     "ChangeDistributor.run": "changes",
     "PageServer.run": "pages",
     "GatewayNode.clean_up": "tidying",
-    "CallerConnection.watch_caller": "requests",
+    "CallerConnection.watch_disconnect": "requests",
 }
 
 
--- a/benchmarks/limit_costs.py
+++ b/benchmarks/limit_costs.py
@@ -19,7 +19,7 @@
 from rosemaryknot.process.server_load import LoadReport, ServerLoad
 from rosemaryknot.request.budget import EntryBudgets
 from rosemaryknot.request.engine_queue import EngineQueue, engine_capacity
-from rosemaryknot.values.limits import BudgetAsk, BudgetGrant
+from rosemaryknot.values.limits import BudgetGrant, BudgetRequest
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.version.tables import Limit
 
@@ -53,9 +53,9 @@
     return owner
 
 
-def new_ask(key: LimitKey, entry: str, sequence: int) -> BudgetAsk:
+def new_ask(key: LimitKey, entry: str, sequence: int) -> BudgetRequest:
     """Return the ask of an entry under load."""
-    return BudgetAsk(
+    return BudgetRequest(
         key.customer,
         key.service,
         entry,
@@ -100,7 +100,7 @@
 async def measure_charges(limit: Limit) -> float:
     """Return the time to charge and settle a request at the entry, in us."""
 
-    async def call(ask: BudgetAsk, timeout_s: float) -> BudgetGrant:
+    async def call(ask: BudgetRequest, timeout_s: float) -> BudgetGrant:
         return BudgetGrant(True, ask.needed_tokens + LARGE, 0, LATER_S)
 
     entry = EntryBudgets(Node("zone-0-0", "zone-0", 1), SimpleNamespace(call=call))
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -33,10 +33,10 @@
 from rosemaryknot.process.server_distributor import ServerDistributor
 from rosemaryknot.process.servers import ServerTable
 from rosemaryknot.process.standby_table import StandbyTable
-from rosemaryknot.values.claim_peers import CopyRecords
+from rosemaryknot.values.claim_peers import ReplicateRecords
 from rosemaryknot.values.claims import ClaimId, ClaimRequest
 from rosemaryknot.values.configuration import document_digest
-from rosemaryknot.values.limits import BudgetAsk
+from rosemaryknot.values.limits import BudgetRequest
 from rosemaryknot.values.messages import decode_message, encode_message
 from rosemaryknot.values.nodes import Address, BackendServer, Node
 from rosemaryknot.values.peers import PeerRecord, PeerRecords
@@ -276,7 +276,7 @@
 
     def copies() -> list[bytes]:
         return [
-            encode_message(CopyRecords(0, claims_to_wire([item], 1.0)))
+            encode_message(ReplicateRecords(0, claims_to_wire([item], 1.0)))
             for item in items
         ]
 
@@ -335,7 +335,7 @@
         start_s = time.process_time()
         for number in range(CUSTOMERS):
             name = f"estimator-{number}"
-            ask = BudgetAsk(name, "kit-assistant", "waco-a-1", 1, sequence)
+            ask = BudgetRequest(name, "kit-assistant", "waco-a-1", 1, sequence)
             ask.needed_tokens, ask.needed_slots = 100.0, 1
             answer = await owner.handle_budget_request(ask, link)
             sizes.append(len(encode_message(ask)) + len(encode_message(answer)))
--- a/scripts/demo_plan.py
+++ b/scripts/demo_plan.py
@@ -157,7 +157,9 @@
     """Return the stored object of the configuration's first version."""
     patch = Patch("demo-first-version", 0, None, "demo")
     stored = StoredConfiguration()
-    return stored.changed_by(patch, document, ["first version"], time.time()).to_value()
+    return stored.with_change(
+        patch, document, ["first version"], time.time()
+    ).to_value()
 
 
 def write_files(plan: Plan) -> None:
--- a/scripts/soak_proxy.py
+++ b/scripts/soak_proxy.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from rosemaryknot.connection.network import drop_undelivered
+from rosemaryknot.connection.network import reset_on_close
 from rosemaryknot.values.nodes import Address
 
 __all__ = ["SoakProxy"]
@@ -89,7 +89,7 @@
 
     def reset(self, stream: trio.SocketStream) -> None:
         """Reset one connection."""
-        drop_undelivered(stream)
+        reset_on_close(stream)
         stream.socket.close()
 
     def reset_all(self) -> None:
--- a/src/rosemaryknot/connection/caller_connection.py
+++ b/src/rosemaryknot/connection/caller_connection.py
@@ -1,52 +1,52 @@
-"""What surrounds a request on a caller's connection: counting and lingering."""
+"""ASGI middleware that counts requests in flight and closes connections gracefully."""
 
 from contextlib import AbstractContextManager
 from typing import Any
 
 import trio
 
-__all__ = ["CallerConnections"]
+__all__ = ["LingeringCloseMiddleware"]
 
 LINGER_S = 1.0
 
 
-class BodyWatch:
-    """Notes when the body of a request has come whole.
+class BodyTracker:
+    """Wrapper of ASGI ``receive`` that detects the end of a request body.
 
     Parameters
     ----------
     receive : callable
-        ASGI receive.
+        ASGI receive callable.
     """
 
-    __slots__ = ("receive_next", "is_over")
+    __slots__ = ("receive_next", "is_received")
 
     def __init__(self, receive: Any) -> None:
         self.receive_next = receive
-        self.is_over = trio.Event()
+        self.is_received = trio.Event()
 
     async def receive(self) -> dict[str, Any]:
         """Receive the next ASGI message."""
         message = await self.receive_next()
         if not message.get("more_body", False):
-            self.is_over.set()
+            self.is_received.set()
         return message
 
 
-class CallerConnections:
-    """ASGI layer below the application.
+class LingeringCloseMiddleware:
+    """ASGI middleware that delays the end of a response until the body has arrived.
 
-    An answer may be given before the request's body has come, as for one that is
-    too large. Closing the connection then resets it, and the caller loses the
-    answer together with the rest of its body. So the end of an answer waits a
-    little until the body is over; the answer itself is out by then.
+    A response may be sent before the request body was received, for example if the
+    body is too large. Closing the connection then resets it, and the caller loses the
+    response while it still sends its body. Therefore the end of a response waits for
+    the end of the body, at most `LINGER_S`; the response itself has been sent by then.
 
     Parameters
     ----------
     app : callable
         The ASGI application.
     in_flight : context manager
-        Entered for as long as an answer is worked on or written.
+        Entered while a request is handled and its response is written.
     """
 
     def __init__(self, app: Any, in_flight: AbstractContextManager) -> None:
@@ -58,12 +58,12 @@
         if scope["type"] != "http":
             await self.app(scope, receive, send)
             return
-        body = BodyWatch(receive)
+        body = BodyTracker(receive)
 
         async def send_and_linger(message: dict[str, Any]) -> None:
-            if not message.get("more_body", True) and not body.is_over.is_set():
+            if not message.get("more_body", True) and not body.is_received.is_set():
                 with trio.move_on_after(LINGER_S):
-                    await body.is_over.wait()
+                    await body.is_received.wait()
             await send(message)
 
         with self.in_flight:
--- a/src/rosemaryknot/connection/connection_bound.py
+++ b/src/rosemaryknot/connection/connection_limit.py
@@ -1,4 +1,4 @@
-"""A bound on the connections of callers, and the answer beyond it."""
+"""Limit on the number of caller connections, and the refusal of further ones."""
 
 import json
 from collections.abc import Iterable
@@ -11,11 +11,11 @@
 from rosemaryknot.process.metrics import counter, gauge
 from rosemaryknot.values.outcomes import Reason
 
-__all__ = ["ConnectionBound"]
+__all__ = ["ConnectionLimiter"]
 
-REFUSAL_S = 1.0
+REFUSAL_TIMEOUT_S = 1.0
 MAX_REFUSALS = 100
-RETRY_S = 1
+RETRY_AFTER_S = 1
 READ_BYTES = 65536
 NOT_RUN_STATUS = 503
 UNKNOWN_STATUS = 504
@@ -30,27 +30,27 @@
 )
 
 
-class ConnectionBound:
-    """Passes a bounded number of connections on and refuses the others.
+class ConnectionLimiter:
+    """Limiter that handles a bounded number of connections and refuses the others.
 
-    A caller that opens connections without end would take the process's memory and
-    open files: requests of all callers then fail, and so do the links to the agent
-    and to the backend servers. The bound is enough, since the other bounds hold for
-    each connection that is passed on.
+    A caller that opens an unlimited number of connections would exhaust the memory and
+    file descriptors of the process: the requests of all callers would fail, and so
+    would the links to the agent and to the backend servers. This limit is sufficient,
+    since other limits apply to each connection that is handled.
 
     Parameters
     ----------
     handler : callable
-        Handles a connection to its end.
+        Handles a connection until it ends.
     max_connections : int
-        Connections that are handled at once.
+        Maximum number of concurrent connections.
 
     Attributes
     ----------
     open : int
-        Connections that are being handled.
+        Number of connections being handled.
     refusals : int
-        Connections that are being refused.
+        Number of connections being refused.
     """
 
     def __init__(self, handler: StreamHandler, max_connections: int) -> None:
@@ -73,29 +73,30 @@
             open_gauge.set(self.open)
 
     async def refuse(self, stream: trio.abc.HalfCloseableStream) -> None:
-        """Answer the first request of a connection that there is no room for.
+        """Refuse the first request of a connection beyond the limit.
 
-        Where too many are being refused already, the connection just ends.
+        If too many connections are being refused already, the connection is closed
+        without a response.
         """
         refused_counter.add()
-        log.warning("refused a connection: too many are open", open=self.open)
+        log.warning("connection refused: connection limit reached", open=self.open)
         if self.refusals >= MAX_REFUSALS:
             return
         self.refusals += 1
         try:
-            with trio.move_on_after(REFUSAL_S):
-                await answer_refusal(stream)
+            with trio.move_on_after(REFUSAL_TIMEOUT_S):
+                await send_refusal(stream)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
             self.refusals -= 1
 
 
-async def answer_refusal(stream: trio.abc.HalfCloseableStream) -> None:
-    """Read the head of one request, refuse it, and read on to the caller's end.
+async def send_refusal(stream: trio.abc.HalfCloseableStream) -> None:
+    """Read the head of one request, refuse it, and drain the stream to its end.
 
-    Closing a connection while the rest of its request comes in resets it, and the
-    caller loses the answer.
+    Closing a connection while the rest of a request arrives resets it, and the caller
+    loses the response.
     """
     protocol = h11.Connection(h11.SERVER)
     try:
@@ -107,40 +108,40 @@
         return
     if not isinstance(event, h11.Request):
         return
-    await stream.send_all(refusal(protocol, event))
+    await stream.send_all(build_refusal(protocol, event))
     await stream.send_eof()
     while await stream.receive_some(READ_BYTES):
         pass
 
 
-def refusal(protocol: h11.Connection, request: h11.Request) -> bytes:
-    """Return the answer to a request that there is no room for.
+def build_refusal(protocol: h11.Connection, request: h11.Request) -> bytes:
+    """Return the encoded response to a request beyond the connection limit.
 
-    A repeat of a request that is not idempotent may have run on its first send, so
-    "not run" would be a lie about it.
+    A retried request that is not idempotent may have run on an earlier attempt, so
+    its outcome is "unknown" and not "not run".
     """
-    is_repeat = may_have_run(request.headers)
+    is_retry = may_have_run(request.headers)
     document = {
-        "outcome": "unknown" if is_repeat else "not_run",
+        "outcome": "unknown" if is_retry else "not_run",
         "reason": str(Reason.OVERLOADED),
-        "retry_after": RETRY_S,
+        "retry_after": RETRY_AFTER_S,
         "detail": "too many connections are open",
     }
     body = json.dumps(document).encode()
     headers = [
         ("Content-Type", "application/json"),
         ("Content-Length", str(len(body))),
-        ("Retry-After", str(RETRY_S)),
+        ("Retry-After", str(RETRY_AFTER_S)),
         ("Connection", "close"),
     ]
-    status = UNKNOWN_STATUS if is_repeat else NOT_RUN_STATUS
+    status = UNKNOWN_STATUS if is_retry else NOT_RUN_STATUS
     head = protocol.send(h11.Response(status_code=status, headers=headers))
     content = b"" if request.method == b"HEAD" else body
     return head + content
 
 
 def may_have_run(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Return whether an earlier send of the same request may have run."""
+    """Return whether an earlier attempt of the same request may have run."""
     values: dict[bytes, list[bytes]] = {}
     for name, value in headers:
         values.setdefault(name, []).append(value)
--- a/src/rosemaryknot/connection/direct_write.py
+++ b/src/rosemaryknot/connection/direct_write.py
@@ -1,25 +1,26 @@
-"""Parts of an answer written straight to its connection, without a task of their own.
+"""Direct writes of response chunks to a connection, bypassing the application task.
 
-A token that goes up through the application costs a wake-up of the task that answers
-its caller, a lock, a timer and another wake-up behind the write. Here whoever has the
-token frames it with hypercorn's own h11 state and hands it to the socket at once.
+Sending a token through the application costs a wake-up of the task that handles the
+request, a lock, a timer and another wake-up after the write. With a `DirectWriter`,
+the task that receives the token frames it with hypercorn's h11 state and writes it to
+the socket immediately.
 """
 
 from typing import Any
 
 import h11
 
-__all__ = ["DIRECT_WRITE", "DirectWriter", "WithDirectWrite", "direct_writer_of"]
+__all__ = ["DIRECT_WRITE", "DirectWriter", "DirectWriteMiddleware", "get_direct_writer"]
 
 DIRECT_WRITE = "rosemaryknot.direct_write"
 """Name of the ASGI extension."""
 
 
 class DirectWriter:
-    """Writes parts of one answer's body while its application task sleeps.
+    """Writer of body chunks of one response while its application task waits.
 
-    To be used only between two parts that the application sends itself, and not
-    after it was cancelled.
+    It may be used only between two chunks that the application sends itself, and not
+    after the application was cancelled.
 
     Parameters
     ----------
@@ -34,24 +35,24 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether the caller has not taken what was written."""
+        """Whether earlier writes have not been accepted by the socket yet."""
         connection = self.connection
         return bool(connection.unsent) or connection.send_lock.locked()
 
     def write_now(self, data: bytes) -> bool:
-        """Write a part of the body without waiting.
+        """Write a chunk of the body without waiting.
 
         Parameters
         ----------
         data : bytes
-            Part of the body.
+            Chunk of the body.
 
         Returns
         -------
-        is_taken : bool
-            False where nothing was taken. Whatever was taken and not written is
-            kept, and nothing further is taken before `flush`: so a caller who
-            never reads costs one part of memory.
+        is_accepted : bool
+            False if nothing was accepted. Accepted bytes that could not be written are
+            buffered, and no further chunk is accepted before `flush`, so a caller that
+            never reads uses the memory of one chunk.
         """
         connection = self.connection
         if connection.unsent or connection.send_lock.locked():
@@ -64,18 +65,18 @@
         return True
 
     async def flush(self) -> None:
-        """Write what is kept, within the connection's bound on writes."""
+        """Write the buffered bytes, subject to the connection's write timeout."""
         if self.is_behind:
             await self.connection.write(b"")
 
 
-class WithDirectWrite:
-    """Application wrapper that offers `DirectWriter` as an ASGI extension.
+class DirectWriteMiddleware:
+    """ASGI middleware that provides `DirectWriter` as an extension.
 
     Parameters
     ----------
     app : callable
-        Hypercorn's wrapper of the application.
+        Application, as wrapped by hypercorn.
     connection : http_server.Connection
         The caller's connection.
     """
@@ -85,12 +86,12 @@
         self.connection = connection
 
     async def __call__(self, scope: dict[str, Any], *rest: Any) -> None:
-        """Handle one request; the answer to HEAD has no body to write."""
+        """Handle one request; HEAD gets no writer, since its response has no body."""
         if scope["type"] == "http" and scope["method"] != "HEAD":
             scope["extensions"][DIRECT_WRITE] = DirectWriter(self.connection)
         await self.app(scope, *rest)
 
 
-def direct_writer_of(scope: dict[str, Any]) -> DirectWriter | None:
-    """Return the writer of the request with an ASGI scope; None where there is none."""
+def get_direct_writer(scope: dict[str, Any]) -> DirectWriter | None:
+    """Return the direct writer of an ASGI scope, or None if it has none."""
     return scope.get("extensions", {}).get(DIRECT_WRITE)
--- a/src/rosemaryknot/connection/engine_client.py
+++ b/src/rosemaryknot/connection/engine_client.py
@@ -1,4 +1,4 @@
-"""Calls to model engines, each on a connection of its own."""
+"""Client for model engines, with one connection for each call."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,21 +21,21 @@
 __all__ = ["EngineClient", "EngineStatus", "KvExport"]
 
 CONNECT_TIMEOUT_S = 2.0
-ASK_TIMEOUT_S = 1.0
+REQUEST_TIMEOUT_S = 1.0
 HEADERS = {"connection": "close", "accept-encoding": "identity"}
-LEAVING_HEADER = "rosemaryknot-leaving"
+DRAINING_HEADER = "rosemaryknot-leaving"
 
 
 @dataclass(slots=True)
 class EngineStatus:
-    """What an engine says of one request.
+    """State of one request, as an engine reports it.
 
     Attributes
     ----------
     status : str
         ``waiting``, ``running``, ``done`` or ``unknown``.
     offset : int
-        Tokens that it has emitted.
+        Number of tokens that the engine has emitted.
     """
 
     status: str
@@ -44,14 +44,14 @@
 
 @dataclass(slots=True)
 class KvExport:
-    """KV cache that an engine holds ready to be fetched.
+    """KV cache that an engine has exported for another engine to fetch.
 
     Attributes
     ----------
     handle : str
-        Name under which the target fetches it.
+        Handle with which the target fetches it.
     tokens : int
-        Prompt and answer tokens that it covers.
+        Number of prompt and output tokens that it covers.
     size : int
         Size in bytes.
     """
@@ -62,18 +62,18 @@
 
 
 class EngineClient:
-    """Calls to model engines, each on a connection of its own.
+    """Client for model engines.
 
-    A connection that was idle may have gone silent unnoticed, and new ones work all
-    the same; so none is kept for a second call. A call lasts as long as an answer,
-    beside which the time to connect does not count.
+    Each call uses a new connection. An idle connection may have become silent
+    unnoticed although new ones work, so none is reused. A call lasts as long as the
+    generation of a response, compared to which the time to connect is negligible.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     check_id, check_lineage : bool
-        Safeguards; off only in tests.
+        Whether the id and lineage of each frame are checked; disabled only in tests.
     """
 
     def __init__(
@@ -89,17 +89,17 @@
         call: EngineCall,
         emit: Callable[[list[bytes]], None],
     ) -> StreamEnd:
-        """Run a completion and pass its tokens on as they come.
+        """Run a completion and emit its tokens as they arrive.
 
         Parameters
         ----------
         server : BackendServer
-            Where.
+            Server of the engine.
         call : EngineCall
-            What.
+            Completion request.
         emit : callable
-            Called with the next tokens; also with an empty list where bytes came
-            that complete none.
+            Called with the next tokens after each received chunk; the list is empty if
+            the chunk completes no token.
 
         Returns
         -------
@@ -115,8 +115,8 @@
                 headers={**HEADERS, "content-type": "application/json"},
             ) as response:
                 if response.status_code != httpx.codes.OK:
-                    leaving = response.headers.get(LEAVING_HEADER) == "1"
-                    return Refused(response.status_code, leaving)
+                    is_draining = response.headers.get(DRAINING_HEADER) == "1"
+                    return Refused(response.status_code, is_draining)
                 async for chunk in response.stream:
                     emit(checker.feed(chunk))
                     if checker.end is not None:
@@ -130,23 +130,25 @@
     async def status(
         self, server: BackendServer, request_id: str
     ) -> EngineStatus | None:
-        """Ask what became of a request; None without an answer."""
-        fields = await self.ask("GET", server, f"/v1/requests/{request_id}")
+        """Return the state of a request; None if the engine does not respond."""
+        fields = await self.request_json("GET", server, f"/v1/requests/{request_id}")
         try:
             return EngineStatus(str(fields["status"]), int(fields.get("offset", 0)))
         except (TypeError, LookupError, ValueError):
             return None
 
     async def cancel(self, server: BackendServer, request_id: str) -> bool:
-        """Cancel a request; False without an answer."""
+        """Cancel a request; return False if the engine does not respond."""
         path = f"/v1/requests/{request_id}/cancel"
-        return await self.ask("POST", server, path) is not None
+        return await self.request_json("POST", server, path) is not None
 
     async def export_kv(
         self, server: BackendServer, request_id: str
     ) -> KvExport | None:
-        """Have a request's KV cache held ready; None where it is not."""
-        fields = await self.ask("POST", server, "/kv/export", {"id": request_id})
+        """Export the KV cache of a request; return None if that fails."""
+        fields = await self.request_json(
+            "POST", server, "/kv/export", {"id": request_id}
+        )
         try:
             return KvExport(
                 str(fields["kv"]), int(fields["tokens"]), int(fields["bytes"])
@@ -162,25 +164,25 @@
         request_id: str,
         timeout_s: float,
     ) -> bool:
-        """Have the target fetch a KV cache; False where it does not have it."""
+        """Let the target fetch an exported KV cache; return whether it succeeded."""
         order = {"source": source.address, "kv": export.handle, "id": request_id}
-        fields = await self.ask("POST", target, "/kv/import", order, timeout_s)
+        fields = await self.request_json("POST", target, "/kv/import", order, timeout_s)
         return fields is not None
 
-    async def ask(
+    async def request_json(
         self,
         method: str,
         server: BackendServer,
         path: str,
         body: dict[str, Any] | None = None,
-        timeout_s: float = ASK_TIMEOUT_S,
+        timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> dict[str, Any] | None:
-        """Make a short call on a new connection.
+        """Make a short call and decode its JSON response.
 
         Returns
         -------
         fields : dict or None
-            The JSON answer; None where there is none in time or it is an error.
+            Fields of the response; None after a timeout or an error.
         """
         with trio.move_on_after(timeout_s):
             try:
@@ -190,8 +192,8 @@
                     json=body,
                     headers=HEADERS,
                 )
-                answer = response.json() if response.is_success else None
+                fields = response.json() if response.is_success else None
             except (httpx.HTTPError, ValueError):
                 return None
-            return answer if isinstance(answer, dict) else None
+            return fields if isinstance(fields, dict) else None
         return None
--- a/src/rosemaryknot/connection/engine_frames.py
+++ b/src/rosemaryknot/connection/engine_frames.py
@@ -1,4 +1,4 @@
-"""Frames of an engine's stream: every one checked before its token is passed on."""
+"""Parsing of an engine's stream, with validation of each frame before it is used."""
 
 import json
 from dataclasses import dataclass
@@ -27,20 +27,20 @@
     Attributes
     ----------
     request_id : str
-        Id that each frame must carry.
+        Request id that each frame must have.
     lineage : str
-        Lineage that each frame must carry.
+        Lineage that each frame must have.
     head : bytes
-        What each frame starts with, up to the offset.
+        Bytes with which each frame starts, up to the offset.
     body : dict
-        The caller's body.
+        Body of the caller's request.
     prefix : list of str
         Texts of the tokens already emitted.
     priority : int
-        Engine priority; lower runs first.
-    skip : int
-        Tokens that are not passed on, where an answer is computed from its start
-        though its first tokens were emitted; a baseline for measurements.
+        Engine priority; lower values run first.
+    skip_tokens : int
+        Number of first tokens to drop if a response is recomputed from its start
+        although these were already emitted; used as a baseline in measurements.
     """
 
     request_id: str
@@ -49,10 +49,10 @@
     body: dict[str, Any]
     prefix: list[str]
     priority: int
-    skip: int = 0
+    skip_tokens: int = 0
 
     def payload(self) -> bytes:
-        """Return the body that the engine gets."""
+        """Return the encoded request body for the engine."""
         own = {
             "id": self.request_id,
             "lineage": self.lineage,
@@ -64,14 +64,14 @@
 
 @dataclass(slots=True)
 class Finished:
-    """The engine said that the answer is whole.
+    """The engine reported that the response is complete.
 
     Attributes
     ----------
     tokens : int
-        Tokens of the whole answer.
+        Number of tokens of the complete response.
     prompt_tokens, cached_tokens : int
-        Tokens of the prompt, and how many of them were cached.
+        Number of prompt tokens, and how many of them were cached.
     """
 
     tokens: int
@@ -88,7 +88,7 @@
     status : int
         HTTP status.
     leaving : bool
-        Whether it said that it is leaving.
+        Whether the engine is draining.
     """
 
     status: int
@@ -97,12 +97,12 @@
 
 @dataclass(slots=True)
 class Broken:
-    """The connection ended, or sent what cannot be read, before the answer was whole.
+    """The connection ended or sent invalid data before the response was complete.
 
     Attributes
     ----------
     detail : str
-        What happened; never caller text.
+        What happened; never contains text of the caller.
     sent : bool
         Whether any byte of the request may have reached the engine.
     """
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True)
 class Crossed:
-    """A frame of another request or lineage came on this connection.
+    """A frame of another request or lineage was received on this connection.
 
     Attributes
     ----------
@@ -128,21 +128,22 @@
 
 
 class FrameChecker:
-    """Splits a body into frames and lets only those of one request through.
+    """Parser that splits a body into frames and accepts only those of one request.
 
     Parameters
     ----------
     call : EngineCall
-        The call whose frames are expected.
+        Call whose frames are expected.
     check_id, check_lineage : bool
-        Safeguards; off only in tests that show what they are for.
+        Whether the id and lineage of each frame are checked; disabled only in tests
+        that show the failures which these checks prevent.
 
     Attributes
     ----------
     offset : int
         Offset of the next token.
     end : Finished, Broken, Crossed or None
-        Set when the stream is over.
+        How the stream ended; None while it continues.
     """
 
     def __init__(self, call: EngineCall, check_id: bool, check_lineage: bool) -> None:
@@ -151,57 +152,57 @@
         self.check_lineage = check_lineage
         self.offset = len(call.prefix)
         self.end: StreamEnd | None = None
-        self.rest = b""
+        self.buffer = b""
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Take a chunk of the body and return the tokens that it completes.
+        """Parse a chunk of the body and return the tokens that it completes.
 
         Parameters
         ----------
         chunk : bytes
-            Bytes as they arrived.
+            Chunk as received.
 
         Returns
         -------
         tokens : list of bytes
-            Texts of the next tokens, each as the inside of a JSON string.
+            Texts of the next tokens, each encoded as the content of a JSON string.
         """
-        frames = (self.rest + chunk).split(b"\n\n")
-        self.rest = frames.pop()
-        if len(self.rest) > MAX_FRAME_BYTES:
+        frames = (self.buffer + chunk).split(b"\n\n")
+        self.buffer = frames.pop()
+        if len(self.buffer) > MAX_FRAME_BYTES:
             self.end = Broken("a frame is too long")
         tokens: list[bytes] = []
         for frame in frames:
-            token = self.token_of(frame)
+            token = self.parse_token(frame)
             if self.end is not None:
                 break
             if token is not None:
-                if self.offset >= self.call.skip:
+                if self.offset >= self.call.skip_tokens:
                     tokens.append(token)
                 self.offset += 1
         return tokens
 
-    def token_of(self, frame: bytes) -> bytes | None:
-        """Return the token of a frame, or None where it holds none."""
+    def parse_token(self, frame: bytes) -> bytes | None:
+        """Return the token of a frame, or None if it has none."""
         start = b"%b%d%b" % (self.call.head, self.offset, CONTENT_KEY)
         if frame.startswith(start) and frame.endswith(CONTENT_END):
             token = frame[len(start) : -len(CONTENT_END)]
-            # An escape or a quote may hide further fields: those take the slow way.
+            # An escape or a quote may conceal further fields; use the JSON parser.
             if b'"' not in token and b"\\" not in token:
                 return token
-        return self.parsed_token_of(frame)
+        return self.parse_json_token(frame)
 
-    def parsed_token_of(self, frame: bytes) -> bytes | None:
-        """Read a frame as JSON; the slow way, for what is not a plain token."""
+    def parse_json_token(self, frame: bytes) -> bytes | None:
+        """Parse a frame as JSON, the slow path for frames other than plain tokens."""
         frame = frame.strip()
         if not frame.startswith(b"data:") or frame == DONE_FRAME:
             return None
         try:
             fields = json.loads(frame[5:])
-            if not self.is_ours(fields):
+            if not self.is_expected(fields):
                 return None
             if fields.get("done"):
-                self.end = self.finished(fields)
+                self.end = self.parse_end(fields)
                 return None
             if "choices" not in fields:
                 self.end = Broken("the engine reported an error")
@@ -215,13 +216,13 @@
             self.end = Broken("a frame cannot be read")
             return None
 
-    def is_ours(self, fields: dict[str, Any]) -> bool:
-        """Tell whether a frame belongs to the call; sets `end` where not.
+    def is_expected(self, fields: dict[str, Any]) -> bool:
+        """Return whether a frame belongs to the call; set `end` if it does not.
 
-        Something between the two ends may hand this connection the answer to
-        another request, and its caller would get another caller's text. Nothing of
-        such a connection is passed on from that frame; the text so far stays, since
-        each of its frames carried our id and lineage.
+        A proxy between the two ends may deliver the response to another request on
+        this connection, and the caller would receive another caller's text. That frame
+        and all later ones are dropped. Earlier text remains valid, since each of its
+        frames had the expected id and lineage.
         """
         if fields.get("id") != self.call.request_id:
             self.end = Crossed("id") if self.check_id else None
@@ -229,8 +230,8 @@
             self.end = Crossed("lineage")
         return self.end is None
 
-    def finished(self, fields: dict[str, Any]) -> StreamEnd:
-        """Return how the stream ended by the frame that says so."""
+    def parse_end(self, fields: dict[str, Any]) -> StreamEnd:
+        """Return how the stream ended, from its final frame."""
         total = int(fields["offset"])
         if total != self.offset:
             return Broken("the engine counts another number of tokens")
--- a/src/rosemaryknot/connection/gateway_caller.py
+++ b/src/rosemaryknot/connection/gateway_caller.py
@@ -1,8 +1,8 @@
-"""Connections of callers to the gateway, by h11.
+"""HTTP/1.1 connections from callers to the gateway, implemented on h11.
 
-Quart on hypercorn cannot break an answer off so that it looks broken, notice that a
-caller leaves while nothing is sent to it, or tell kept connections to close; hence
-h11 over the network's streams here.
+Quart on hypercorn cannot abort a response so that the caller sees it as incomplete,
+detect a caller's disconnect while nothing is being sent, or announce the close of
+persistent connections. This module therefore uses h11 directly over network streams.
 """
 
 import h11
@@ -10,10 +10,10 @@
 
 from rosemaryknot.connection.listener_state import ListenerState
 from rosemaryknot.connection.network import receive_next, send_now
-from rosemaryknot.connection.owed_answers import Cause, OwedAnswer, Phase
+from rosemaryknot.connection.pending_responses import Cause, PendingResponse, Phase
 from rosemaryknot.process.logs import logger
 from rosemaryknot.values.gateway import GatewayRequest, Headers
-from rosemaryknot.values.gateway_answers import (
+from rosemaryknot.values.gateway_responses import (
     Refusal,
     TargetFault,
 )
@@ -21,16 +21,16 @@
 __all__ = ["CallerConnection", "Reply"]
 
 READ_BYTES = 65536
-# A caller that reads nothing for this long gets its connection closed; longer than
-# the two seconds after which callers give a stream up themselves.
+# A connection whose caller reads nothing for this long is closed. Callers abandon a
+# stalled stream after two seconds, so this timeout is longer.
 WRITE_TIMEOUT_S = 10.0
-# Bytes of a next request that are kept while the current one is answered.
-MAX_AHEAD_BYTES = 65536
-# A connection closed with unread bytes is reset, and the reset destroys an answer
-# that is still on its way; so what comes is read and dropped for this long.
+# Limit on pipelined bytes that are buffered while the current request is handled.
+MAX_PIPELINED_BYTES = 65536
+# Closing a connection with unread bytes resets it, and the reset discards a response
+# that is still in transit; so incoming bytes are read and dropped for this long.
 LINGER_S = 0.5
-# How long a body may stand still before it counts as given up.
-BODY_IDLE_S = 5.0
+# A request body that makes no progress for this long is considered abandoned.
+BODY_IDLE_TIMEOUT_S = 5.0
 BAD_REQUEST = 400
 TIMEOUT_STATUS = 408
 TOO_LARGE = 413
@@ -40,12 +40,12 @@
 
 
 class CallerGone(Exception):
-    """The caller closed its connection, or stopped reading.
+    """The caller closed its connection or stopped reading or sending.
 
     Attributes
     ----------
     cause : Cause
-        Which of the two.
+        Which of these happened.
     """
 
     def __init__(self, cause: Cause = Cause.CALLER_LEFT) -> None:
@@ -54,7 +54,7 @@
 
 
 def cause_of(group: BaseExceptionGroup) -> Cause:
-    """Return why a caller is gone, out of a group of `CallerGone`.
+    """Return the cause of the first `CallerGone` in an exception group.
 
     Examples
     --------
@@ -67,29 +67,31 @@
 
 
 class Reply:
-    """Writes the answer to one request.
+    """Writer for the response to one request.
 
     Attributes
     ----------
-    owed : OwedAnswer
-        What is told of the request where it is cut.
+    pending : PendingResponse
+        State that is logged if the request is aborted.
     is_started : bool
-        Whether a part of the answer may have gone out.
+        Whether any part of the response may have been sent.
     is_done : bool
-        Whether it went out whole.
+        Whether the complete response was sent.
     status : int
-        What was sent; 0 before.
+        Status code that was sent; 0 before.
     """
 
-    def __init__(self, connection: "CallerConnection", owed: OwedAnswer) -> None:
+    def __init__(
+        self, connection: "CallerConnection", pending: PendingResponse
+    ) -> None:
         self.connection = connection
-        self.owed = owed
+        self.pending = pending
         self.is_started = False
         self.is_done = False
         self.status = 0
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer."""
+        """Send the head of a response."""
         self.is_started = True
         self.status = status
         headers = list(headers)
@@ -98,18 +100,18 @@
         await self.connection.send(h11.Response(status_code=status, headers=headers))
 
     async def data(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         await self.connection.send(h11.Data(data=data))
-        self.owed.sent_bytes += len(data)
+        self.pending.sent_bytes += len(data)
 
     async def end(self) -> None:
-        """End the answer whole."""
+        """Complete the response."""
         await self.connection.send(h11.EndOfMessage())
         self.is_done = True
-        self.owed.is_whole = True
+        self.pending.is_whole = True
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send an answer in one write."""
+    async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response."""
         await self.start(status, headers)
         if body:
             await self.data(body)
@@ -117,14 +119,14 @@
 
 
 class CallerConnection:
-    """One connection: reads a request, has it answered, goes on.
+    """One caller's connection, which handles its requests in sequence.
 
     Parameters
     ----------
     stream : trio.abc.HalfCloseableStream
-        The connection.
+        Stream of the connection.
     state : ListenerState
-        What all connections share.
+        State that all connections of the listener share.
     """
 
     def __init__(
@@ -136,17 +138,18 @@
         self.conn = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.max_header_bytes + 4096
         )
-        self.saw_end = False
-        self.owed: OwedAnswer | None = None
+        self.saw_eof = False
+        self.pending: PendingResponse | None = None
 
     def is_closing(self) -> bool:
-        """Tell whether the connection closes after this answer.
+        """Return whether the connection closes after this response.
 
-        A caller that waits to be asked for its body may send it or the next request
-        behind a refusal; read as the other one, a body would become a request.
+        A caller that still waits for ``100 Continue`` may send either its body or its
+        next request after a refusal. The two cannot be distinguished, so a body could
+        be parsed as a request.
         """
-        is_body_unasked = self.conn.they_are_waiting_for_100_continue
-        return self.state.stop is not None or is_body_unasked
+        awaits_continue = self.conn.they_are_waiting_for_100_continue
+        return self.state.stop is not None or awaits_continue
 
     async def run(self) -> None:
         """Serve the connection until it ends."""
@@ -160,27 +163,27 @@
             self.state.open -= 1
 
     async def serve_one(self) -> bool:
-        """Serve one request; return whether another may follow."""
+        """Serve one request; return whether the connection remains usable."""
         try:
             return await self.serve_next()
         except CallerGone as error:
-            self.note_cause(error.cause)
+            self.record_cause(error.cause)
             raise
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            self.note_cause(Cause.CALLER_LEFT)
+            self.record_cause(Cause.CALLER_LEFT)
             raise
         finally:
-            if self.owed is not None:
-                self.state.owed.end(self.owed)
-                self.owed = None
+            if self.pending is not None:
+                self.state.pending.end(self.pending)
+                self.pending = None
 
-    def note_cause(self, cause: Cause) -> None:
-        """Note why the request would end now."""
-        if self.owed is not None:
-            self.owed.cause = cause
+    def record_cause(self, cause: Cause) -> None:
+        """Record why the current request ends."""
+        if self.pending is not None:
+            self.pending.cause = cause
 
     async def serve_next(self) -> bool:
-        """Read a request and have it answered; return whether another may follow."""
+        """Read and handle a request; return whether the connection remains usable."""
         try:
             head = await self.read_head()
             if head is None:
@@ -196,46 +199,46 @@
             return False
 
     async def serve_head(self, head: h11.Request) -> bool:
-        """Read the rest of a request, answer it, return whether another may follow."""
+        """Read the body and handle the request; return whether it stays usable."""
         arrived_s = trio.current_time()
-        self.owed.since_s = arrived_s
-        self.owed.phase = Phase.BODY
-        self.owed.explain = lambda: self.explain(head, arrived_s)
-        fault = self.fault_of(head)
-        request = None if fault is not None else self.decode(head, arrived_s)
+        self.pending.received_s = arrived_s
+        self.pending.phase = Phase.BODY
+        self.pending.explain = lambda: self.explain(head, arrived_s)
+        refusal = self.validate_head(head)
+        request = None if refusal is not None else self.decode(head, arrived_s)
         if isinstance(request, TargetFault):
-            fault = Refusal(request.status, request.reason)
-        if fault is not None:
-            await self.refuse(fault)
+            refusal = Refusal(request.status, request.reason)
+        if refusal is not None:
+            await self.refuse(refusal)
             return False
-        reply = Reply(self, self.owed)
+        reply = Reply(self, self.pending)
         body = await self.read_body(request, reply)
         if reply.is_done:
-            return self.may_follow(reply)
+            return self.can_keep_alive(reply)
         if body is None:
             await self.refuse(Refusal(TOO_LARGE, "the body is too large"))
             return False
         request.body = body
-        return await self.answer(request, reply)
+        return await self.handle_request(request, reply)
 
     def decode(
         self, head: h11.Request, arrived_s: float
     ) -> GatewayRequest | TargetFault:
-        """Return a request by its head, as yet without its body."""
+        """Decode a request from its head, with an empty body."""
         return self.state.wire.read_request(
             head.method, head.target, head.headers.raw_items(), b"", arrived_s
         )
 
     def explain(self, head: h11.Request, arrived_s: float) -> dict[str, object]:
-        """Return what a line tells of a request that is not read whole."""
+        """Return log fields for a request whose body has not been read."""
         return {"request": getattr(self.decode(head, arrived_s), "id", "")}
 
-    def fault_of(self, head: h11.Request) -> Refusal | None:
-        """Return why a head is refused, or None.
+    def validate_head(self, head: h11.Request) -> Refusal | None:
+        """Return the refusal for an invalid head, or None if the head is valid.
 
-        A request with both a length and chunks is read differently by different
-        servers; what one takes for its body another one takes for a request of its
-        own that nobody asked for.
+        Servers disagree on how to frame a request that has both ``Content-Length``
+        and ``Transfer-Encoding``: what one reads as the body another one reads as a
+        separate request (request smuggling).
         """
         names = [name for name, _ in head.headers]
         if b"content-length" in names and b"transfer-encoding" in names:
@@ -248,60 +251,63 @@
         return None
 
     async def read_head(self) -> h11.Request | None:
-        """Return the next request's head, or None where none comes any more."""
+        """Return the next request's head, or None if no further request arrives."""
         limits = self.state.limits()
-        began_s = trio.current_time()
-        is_begun = bool(self.conn.trailing_data[0])
+        started_s = trio.current_time()
+        has_started = bool(self.conn.trailing_data[0])
         while True:
-            if is_begun and self.owed is None:
-                self.owed = self.state.owed.begin()
+            if has_started and self.pending is None:
+                self.pending = self.state.pending.begin()
             event = self.conn.next_event()
             if isinstance(event, h11.Request):
                 return event
-            if event is not h11.NEED_DATA or self.saw_end:
+            if event is not h11.NEED_DATA or self.saw_eof:
                 return None
-            limit_s = limits.header_timeout_s if is_begun else limits.idle_timeout_s
-            data = await self.receive_until(began_s + limit_s, is_begun)
+            timeout_s = (
+                limits.header_timeout_s if has_started else limits.idle_timeout_s
+            )
+            data = await self.receive_until(started_s + timeout_s, has_started)
             if data is None:
-                if is_begun:
+                if has_started:
                     await self.refuse(Refusal(TIMEOUT_STATUS, "headers took too long"))
                 return None
-            if not is_begun and data:
-                is_begun = True
-                began_s = trio.current_time()
+            if not has_started and data:
+                has_started = True
+                started_s = trio.current_time()
             self.conn.receive_data(data)
 
-    async def receive_until(self, until_s: float, is_begun: bool) -> bytes | None:
-        """Return what comes next, or None where nothing comes in time."""
-        with trio.move_on_at(until_s) as scope:
-            if not is_begun:
-                self.state.idle.add(scope)
+    async def receive_until(self, deadline_s: float, has_started: bool) -> bytes | None:
+        """Return the next bytes, or None if none arrive before the deadline."""
+        with trio.move_on_at(deadline_s) as scope:
+            if not has_started:
+                self.state.idle_scopes.add(scope)
             try:
                 return await self.receive()
             finally:
-                self.state.idle.discard(scope)
+                self.state.idle_scopes.discard(scope)
         return None
 
     async def read_body(self, request: GatewayRequest, reply: Reply) -> bytes | None:
-        """Return the body of a request, or None where it is too large.
+        """Return the body of a request, or None if it is too large.
 
-        Where the head is enough to refuse a request, its caller is told while the body
-        still comes, and the rest is dropped. Told behind it only, a caller sends a slow
-        body for nothing, or is cut in it by the end of a stop.
+        If the head is sufficient to refuse a request, the refusal is sent while the
+        body is still being received, and the rest of the body is dropped. Otherwise a
+        caller would send a slow body in vain, or be aborted within it by the end of a
+        graceful shutdown.
         """
-        limit = self.state.limits().max_body_bytes
-        parts: list[bytes] = []
+        max_bytes = self.state.limits().max_body_bytes
+        chunks: list[bytes] = []
         size = 0
         is_head_checked = False
         while True:
             event = self.conn.next_event()
             if isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > limit:
+                if size > max_bytes:
                     return None
-                parts.append(bytes(event.data))
+                chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                return b"".join(parts)
+                return b"".join(chunks)
             elif event is not h11.NEED_DATA:
                 raise CallerGone
             elif is_head_checked or reply.is_done:
@@ -311,20 +317,20 @@
                 is_head_checked = True
 
     async def check_head(self, request: GatewayRequest, reply: Reply) -> None:
-        """Refuse a request by its head where that is enough, or ask for its body."""
+        """Refuse a request by its head if possible, else send ``100 Continue``."""
         if await self.state.refuse_by_head(request, reply):
-            self.owed.is_told = True
+            self.pending.is_logged = True
         elif self.conn.they_are_waiting_for_100_continue:
             await self.send(h11.InformationalResponse(status_code=100, headers=[]))
 
     async def read_more(self) -> bool:
-        """Feed what the caller sends next; return False where the stop comes first."""
-        with trio.move_on_after(BODY_IDLE_S) as scope:
-            self.state.bodies.add(scope)
+        """Pass the next bytes to h11; return False if a shutdown interrupts this."""
+        with trio.move_on_after(BODY_IDLE_TIMEOUT_S) as scope:
+            self.state.body_scopes.add(scope)
             try:
                 data = await self.receive()
             finally:
-                self.state.bodies.discard(scope)
+                self.state.body_scopes.discard(scope)
             if not data:
                 raise CallerGone
             self.conn.receive_data(data)
@@ -334,68 +340,71 @@
         return False
 
     async def receive(self) -> bytes:
-        """Return what the caller sends next; empty at the end."""
+        """Return the next bytes from the caller; empty at the end of the stream."""
         data = await receive_next(self.stream, READ_BYTES)
         if not data:
-            self.saw_end = True
+            self.saw_eof = True
         return data
 
-    async def answer(self, request: GatewayRequest, reply: Reply) -> bool:
-        """Have a request answered; stop when the caller leaves meanwhile."""
-        owed = self.owed
-        owed.phase = Phase.ANSWER
+    async def handle_request(self, request: GatewayRequest, reply: Reply) -> bool:
+        """Run the handler; cancel it if the caller disconnects meanwhile."""
+        pending = self.pending
+        pending.phase = Phase.RESPONSE
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.watch_caller, nursery.cancel_scope)
+            nursery.start_soon(self.watch_disconnect, nursery.cancel_scope)
             try:
                 await self.state.handler(request, reply)
-                # What ends here has its line of the handler.
-                owed.is_told = True
+                # The handler has logged the outcome of this request.
+                pending.is_logged = True
             except* CallerGone as group:
-                # Raised beside a request's rest that is being sent, it comes in a
-                # group, which would end the listener and every other answer.
-                owed.cause = cause_of(group)
+                # While the rest of a request is still being sent to a server, the
+                # error arrives in an exception group. Uncaught, the group would end
+                # the listener and abort every other response.
+                pending.cause = cause_of(group)
             nursery.cancel_scope.cancel()
-        return self.may_follow(reply)
+        return self.can_keep_alive(reply)
 
-    def may_follow(self, reply: Reply) -> bool:
-        """Tell whether another request may follow an answer."""
-        if not reply.is_done or self.saw_end:
-            # An answer that ends early must not look whole: without its last chunk
-            # or its full length, the closed connection shows that it broke off.
+    def can_keep_alive(self, reply: Reply) -> bool:
+        """Return whether the connection may carry another request."""
+        if not reply.is_done or self.saw_eof:
+            # A truncated response must not look complete: closing the connection
+            # before its last chunk or full length shows the caller that it is not.
             return False
         if self.conn.our_state is not h11.DONE:
             return False
-        return self.conn.their_state is h11.DONE and not self.is_left_out()
+        return self.conn.their_state is h11.DONE and not self.is_deregistered()
 
-    def is_left_out(self) -> bool:
-        """Tell whether the caller's next request should go to another node.
+    def is_deregistered(self) -> bool:
+        """Return whether the caller's next request should go to another node.
 
-        The head of an answer that began before a stop could not tell so, and the next
-        request would be refused here; one that was sent ahead is answered.
+        A response head that was sent before a graceful shutdown could not announce the
+        close, and this node would refuse the next request. A request that was already
+        pipelined is still handled.
         """
         stop = self.state.stop
         if stop is None or self.conn.trailing_data[0]:
             return False
-        return trio.current_time() >= stop.left_out_s
+        return trio.current_time() >= stop.deregistered_s
 
-    async def watch_caller(self, scope: trio.CancelScope) -> None:
-        """Cancel the request when its caller leaves.
+    async def watch_disconnect(self, scope: trio.CancelScope) -> None:
+        """Cancel the request when its caller disconnects.
 
-        A caller that leaves while nothing is sent to it shows only in a read. Its
-        server would go on working for nobody. What it sends ahead is kept.
+        While nothing is sent to a caller, only a read detects its disconnect. Without
+        it, the server would continue to work on an abandoned request. Pipelined bytes
+        are buffered.
         """
-        ahead = 0
-        while ahead < MAX_AHEAD_BYTES:
+        pipelined = 0
+        while pipelined < MAX_PIPELINED_BYTES:
             try:
                 data = await self.receive()
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 data = b""
-                self.saw_end = True
+                self.saw_eof = True
             if not data:
-                self.note_cause(Cause.CALLER_LEFT)
+                self.record_cause(Cause.CALLER_LEFT)
                 scope.cancel()
                 return
-            ahead += len(data)
+            pipelined += len(data)
             self.conn.receive_data(data)
 
     async def send(self, event: h11.Event) -> None:
@@ -404,11 +413,11 @@
         Raises
         ------
         CallerGone
-            If the caller does not read, or has closed.
+            If the caller does not read, or has closed the connection.
         """
         data = self.conn.send(event)
-        # What the connection takes at once needs no deadline and no turn of the loop:
-        # 5 us a write instead of 27 (processor time of 20,000 writes over loopback).
+        # Bytes that the socket accepts immediately need no deadline and no scheduler
+        # pass: 5 us per write instead of 27 (CPU time of 20,000 writes over loopback).
         data = data[send_now(self.stream, data) :] if data else data
         if not data:
             return
@@ -421,11 +430,15 @@
         raise CallerGone(Cause.CALLER_STALLED)
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Answer a request that cannot be read, and drop what still comes of it."""
+        """Refuse a request that is not read completely, and drop the rest of it."""
         if self.conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        log.info("refused unread", status=refusal.status, reason=refusal.reason)
-        self.owed.phase = Phase.REFUSAL
+        log.info(
+            "request refused before it was read completely",
+            status=refusal.status,
+            reason=refusal.reason,
+        )
+        self.pending.phase = Phase.REFUSAL
         body = (refusal.reason + "\n").encode()
         headers = [
             (b"content-type", b"text/plain"),
@@ -435,11 +448,11 @@
         await self.send(h11.Response(status_code=refusal.status, headers=headers))
         await self.send(h11.Data(data=body))
         await self.send(h11.EndOfMessage())
-        self.owed.is_told = True
+        self.pending.is_logged = True
         await self.linger()
 
     async def linger(self) -> None:
-        """Let the answer arrive before the connection is closed."""
+        """Drain incoming bytes so that the response arrives before the close."""
         with trio.move_on_after(LINGER_S):
             await self.stream.send_eof()
             while await self.stream.receive_some(READ_BYTES):
--- a/src/rosemaryknot/connection/gateway_listener.py
+++ b/src/rosemaryknot/connection/gateway_listener.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of callers."""
+"""Listener for the connections of callers."""
 
 from collections.abc import Awaitable, Callable
 
@@ -9,44 +9,44 @@
 from rosemaryknot.connection.network import Network
 from rosemaryknot.process.logs import logger
 from rosemaryknot.values.gateway import CallerLimits
-from rosemaryknot.values.gateway_answers import GatewayWire
+from rosemaryknot.values.gateway_responses import GatewayWire
 from rosemaryknot.values.nodes import Address
 
 __all__ = ["GatewayListener"]
 
-# How long a connection waits unread for a node that has just started and does not know
-# yet what to serve: the first answers of the store take some hundredths of a second.
-# Refused, its caller would come back later than it is served now.
-FIRST_WAIT_S = 0.25
+# How long a new connection waits, unread, while a node that has just started loads its
+# configuration: the first responses of the store take some hundredths of a second. A
+# refused caller would retry later than it is served after this wait.
+STARTUP_WAIT_S = 0.25
 
 log = logger("callers")
 
 
 class GatewayListener:
-    """Accepts callers.
+    """Listener that serves the connections of callers.
 
     Parameters
     ----------
     network : Network
-        Where to listen.
+        Network to listen on.
     wire : GatewayWire
-        Names of the headers.
+        Codec of requests and responses.
     handler : callable
-        Answers a request.
+        Handles a request and sends its response.
     refuse_by_head : callable
-        Refuses a request whose body is still to come, and tells whether it did.
+        Refuses a request by its head if possible; returns whether it did.
     limits : callable
-        Returns the limits in force.
+        Returns the current limits.
     max_connections : int
-        Open connections; more are closed unread, so that their callers may try
-        elsewhere.
-    wait_known : callable
-        Of seconds; waits so long, or until the node knows what to serve.
+        Maximum number of open connections. Further ones are closed without being read,
+        so that their callers may safely retry elsewhere.
+    wait_ready : callable
+        Waits until the node can serve requests, at most for the given seconds.
 
     Attributes
     ----------
     state : ListenerState
-        What the connections share.
+        State that the connections share.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
         refuse_by_head: HeadHandler,
         limits: Callable[[], CallerLimits],
         max_connections: int,
-        wait_known: Callable[[float], Awaitable[None]],
+        wait_ready: Callable[[float], Awaitable[None]],
     ) -> None:
         self.network = network
         self.state = ListenerState(wire, handler, refuse_by_head, limits)
         self.max_connections = max_connections
-        self.wait_known = wait_known
+        self.wait_ready = wait_ready
 
     async def run(
         self,
@@ -74,10 +74,12 @@
 
     async def handle(self, stream: trio.abc.HalfCloseableStream) -> None:
         """Serve one connection."""
-        await self.wait_known(FIRST_WAIT_S)
+        await self.wait_ready(STARTUP_WAIT_S)
         if self.state.is_closed:
             return
         if self.state.open >= self.max_connections:
-            log.warning("connection closed: too many", open=self.state.open)
+            log.warning(
+                "connection closed: connection limit reached", open=self.state.open
+            )
             return
         await CallerConnection(stream, self.state).run()
--- a/src/rosemaryknot/connection/gateway_server.py
+++ b/src/rosemaryknot/connection/gateway_server.py
@@ -1,7 +1,8 @@
-"""Connections to backend servers: one exchange at a time, by h11.
+"""Pooled HTTP/1.1 connections to backend servers, implemented on h11.
 
-A pooled connection is used again only after an answer that ended exactly, and is
-looked at before: bytes that lie unread belong to no request of ours.
+Each connection carries one exchange at a time. It is reused only after a response that
+ended exactly, and only if no unread bytes are waiting: such bytes belong to none of
+our requests.
 """
 
 from collections.abc import AsyncIterator
@@ -13,41 +14,48 @@
 from rosemaryknot.connection.http_client import is_readable
 from rosemaryknot.connection.network import (
     Network,
-    drop_undelivered,
     receive_next,
+    reset_on_close,
     send_now,
 )
 from rosemaryknot.process.metrics import counter
 from rosemaryknot.values.gateway import Headers, RoutedServer
-from rosemaryknot.values.gateway_answers import AnswerHead, GatewayWire, Lost, NotSent
+from rosemaryknot.values.gateway_responses import (
+    GatewayWire,
+    Lost,
+    NotSent,
+    ResponseHead,
+)
 from rosemaryknot.values.incarnation import ServerIncarnation
 
 __all__ = ["ServerConnection", "ServerPool"]
 
 READ_BYTES = 65536
-# Servers are on the same network; a dial that takes longer meets a machine that is
-# gone or cut off.
+# Servers are on the same network; connecting takes longer only if the machine is down
+# or partitioned.
 CONNECT_TIMEOUT_S = 0.6
-# An idle connection is given up this long before the server would close it, so
-# that a request does not cross the close.
+# An idle connection is discarded this long before the server would close it, so that
+# a request does not race with the close.
 KEEP_ALIVE_MARGIN_S = 0.7
-# Without a word of the server's. A connection may go silent for good while it is
-# idle, so it is not kept for long.
+# Used if the server announces no keep-alive time. A connection may become unusable
+# without an error while it is idle, so it is not kept for long.
 DEFAULT_KEEP_ALIVE_S = 4.0
 MAX_KEEP_ALIVE_S = 10.0
-# Late answers to earlier requests that are passed over before the connection is
-# given up.
-MAX_STRAYS = 2
-# A connection to a life that is over and without a byte for this long brings none.
-QUIET_S = 0.5
-# How long lives that are over are remembered; no request takes as long.
-OVER_S = 120.0
+# Late responses to earlier requests that are skipped before the connection is closed.
+MAX_STRAY_RESPONSES = 2
+# A connection to a replaced incarnation that has received nothing for this long will
+# receive nothing more.
+REPLACED_IDLE_TIMEOUT_S = 0.5
+# How long replaced incarnations are remembered; longer than any request takes.
+REPLACED_TTL_S = 120.0
 HOST = (b"host", b"server")
-# States of the server's end in which a request is out and its answer not whole.
-UNANSWERED = (h11.SEND_RESPONSE, h11.SEND_BODY)
+# h11 states of the server in which a request was sent and its response is incomplete.
+AWAITING_RESPONSE = (h11.SEND_RESPONSE, h11.SEND_BODY)
 
 CONNECTIONS = counter("server_connections_total", "Connections opened to servers.")
-STRAYS = counter("stray_answers_total", "Answers that belonged to another request.")
+STRAY_RESPONSES = counter(
+    "stray_answers_total", "Answers that belonged to another request."
+)
 
 
 class ServerConnection:
@@ -55,10 +63,10 @@
 
     Attributes
     ----------
-    heard_s : float
-        When bytes came last, or it was opened, in trio time.
-    idle_until_s : float
-        When it may not be used again, in trio time.
+    last_received_s : float
+        When bytes were last received, or the connection was opened, in trio time.
+    reuse_deadline_s : float
+        Time from which the connection must not be reused, in trio time.
     is_reusable : bool
         Whether the last exchange ended exactly.
     """
@@ -69,8 +77,8 @@
         self.stream = stream
         self.server = server
         self.conn = h11.Connection(h11.CLIENT)
-        self.idle_until_s = 0.0
-        self.heard_s = trio.current_time()
+        self.reuse_deadline_s = 0.0
+        self.last_received_s = trio.current_time()
         self.is_reusable = False
         self.is_sent = False
         self.wants_close = False
@@ -80,7 +88,7 @@
     async def send(
         self, method: bytes, target: bytes, headers: Headers, body: bytes
     ) -> None:
-        """Write as much of a request as the connection takes; the rest is kept."""
+        """Write as much of a request as possible without waiting; keep the rest."""
         self.is_sent = False
         self.is_reusable = False
         self.request = h11.Request(method=method, target=target, headers=headers)
@@ -93,44 +101,44 @@
         self.is_sent = not self.unsent
 
     async def send_rest(self) -> None:
-        """Write what `send` could not, beside the reading of the answer."""
+        """Write the rest that `send` kept, concurrently with reading the response."""
         try:
             await self.stream.send_all(self.unsent)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
         self.is_sent = True
 
-    async def head(self, wire: GatewayWire, request_id: str) -> AnswerHead | Lost:
-        """Return the head of the answer to this request.
+    async def head(self, wire: GatewayWire, request_id: str) -> ResponseHead | Lost:
+        """Return the head of the response to this request.
 
-        A server may give a second answer to an earlier request where the answer to
-        this one is due. Its id shows it, and it is passed over.
+        A server may send a second response to an earlier request where the response
+        to this one is expected. It is recognized by its request id and skipped.
         """
-        for _ in range(MAX_STRAYS + 1):
+        for _ in range(MAX_STRAY_RESPONSES + 1):
             event = await self.next_event()
             if isinstance(event, Lost):
                 return event
             if not isinstance(event, h11.Response):
                 return Lost("closed without an answer")
-            head = wire.read_answer(event.status_code, event.headers.raw_items())
+            head = wire.read_response(event.status_code, event.headers.raw_items())
             if not request_id or head.request_id in ("", request_id):
-                self.note_head(head)
+                self.record_keep_alive(head)
                 return head
-            STRAYS.add()
+            STRAY_RESPONSES.add()
             if not await self.skip_stray():
                 return Lost("an answer to another request")
         return Lost("answers to other requests")
 
-    def note_head(self, head: AnswerHead) -> None:
-        """Remember when the connection ends."""
-        keep_s = head.keep_alive_s
-        keep_s = DEFAULT_KEEP_ALIVE_S if keep_s is None else keep_s
-        keep_s = min(keep_s, MAX_KEEP_ALIVE_S) - KEEP_ALIVE_MARGIN_S
-        self.idle_until_s = trio.current_time() + keep_s
+    def record_keep_alive(self, head: ResponseHead) -> None:
+        """Record until when the server keeps the connection open."""
+        keep_alive_s = head.keep_alive_s
+        keep_alive_s = DEFAULT_KEEP_ALIVE_S if keep_alive_s is None else keep_alive_s
+        keep_alive_s = min(keep_alive_s, MAX_KEEP_ALIVE_S) - KEEP_ALIVE_MARGIN_S
+        self.reuse_deadline_s = trio.current_time() + keep_alive_s
         self.wants_close = head.is_closing or not head.has_length
 
     async def skip_stray(self) -> bool:
-        """Read a stray answer to its end and expect the right one behind it."""
+        """Read a stray response to its end and prepare to read the next one."""
         while True:
             event = await self.next_event()
             if isinstance(event, h11.EndOfMessage):
@@ -141,18 +149,18 @@
         if is_closed:
             return False
         self.conn = h11.Connection(h11.CLIENT)
-        # Only the method decides how the next answer is read.
+        # Only the request method affects how h11 parses the next response.
         self.conn.send(
             h11.Request(method=self.request.method, target=b"/", headers=[HOST])
         )
         self.conn.send(h11.EndOfMessage())
         if rest:
-            # No bytes would stand for the end of the connection.
+            # h11 interprets empty data as the end of the connection.
             self.conn.receive_data(rest)
         return True
 
     async def next_event(self) -> object:
-        """Return the next event of h11, or `Lost` where the connection broke."""
+        """Return the next h11 event, or `Lost` if the connection failed."""
         while True:
             try:
                 event = self.conn.next_event()
@@ -166,27 +174,27 @@
                 data = await receive_next(self.stream, READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 return Lost("the connection was reset")
-            self.heard_s = trio.current_time()
+            self.last_received_s = trio.current_time()
             self.conn.receive_data(data)
 
     async def chunks(self) -> AsyncIterator[bytes | Lost]:
-        """Yield the parts of the body; the last item is a `Lost` if it broke off."""
+        """Yield the chunks of the body, then a `Lost` if the body is truncated."""
         while True:
             event = await self.next_event()
             if isinstance(event, h11.Data):
                 yield bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self.note_end()
+                self.update_reusable()
                 return
             else:
                 yield event if isinstance(event, Lost) else Lost("broke off")
                 return
 
-    def note_end(self) -> None:
-        """Decide whether the connection may be used again.
+    def update_reusable(self) -> None:
+        """Determine whether the connection may be reused.
 
-        Bytes after a whole answer, a request that has not gone out whole, or a word
-        of closing would spoil the next request.
+        It may not after extra bytes behind the response, an incompletely sent request
+        or an announced close, since the next request on it would fail.
         """
         rest, is_closed = self.conn.trailing_data
         self.is_reusable = (
@@ -201,49 +209,51 @@
             self.conn.start_next_cycle()
 
     async def aclose(self) -> None:
-        """Close at once, with a reset where a request is given up.
+        """Close immediately, with a reset if a request is abandoned.
 
-        What a partition or a full link holds up would otherwise reach the server when
-        the caller has its answer from elsewhere, and the server has left.
+        Otherwise bytes held up by a partition or a full link could reach the server
+        after the caller has received its response from another server, and after this
+        server was removed.
         """
-        if self.conn.their_state in UNANSWERED:
-            drop_undelivered(self.stream)
+        if self.conn.their_state in AWAITING_RESPONSE:
+            reset_on_close(self.stream)
         await trio.aclose_forcefully(self.stream)
 
 
 class ServerPool:
-    """Kept connections to servers.
+    """Pool of connections to servers.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
 
     Attributes
     ----------
     idle : dict of ServerIncarnation to list of ServerConnection
-        By the server's life, the last used one at the end. One to a life before may
-        lead nowhere: without a reset from there, a request on it gets no answer.
+        Idle connections by incarnation of the server, the most recently used one last.
+        A connection to an earlier incarnation may be dead without having been reset,
+        so that a request on it would get no response.
     busy : WeakSet of ServerConnection
-        Those in use.
-    over : dict of ServerIncarnation to float
-        Lives that the next one has replaced, and when, in trio time.
+        Connections in use.
+    replaced_times : dict of ServerIncarnation to float
+        When each incarnation was replaced by its successor, in trio time.
     """
 
     def __init__(self, network: Network) -> None:
         self.network = network
         self.idle: dict[ServerIncarnation, list[ServerConnection]] = {}
         self.busy: WeakSet[ServerConnection] = WeakSet()
-        self.over: dict[ServerIncarnation, float] = {}
+        self.replaced_times: dict[ServerIncarnation, float] = {}
 
-    async def take(
+    async def acquire(
         self, server: RoutedServer, may_reuse: bool = True
     ) -> ServerConnection | NotSent:
         """Return an idle connection to a server, or a new one."""
         while may_reuse and self.idle.get(server.incarnation):
             connection = self.idle[server.incarnation].pop()
-            is_fresh = trio.current_time() < connection.idle_until_s
-            if is_fresh and not is_readable(connection.stream):
+            is_current = trio.current_time() < connection.reuse_deadline_s
+            if is_current and not is_readable(connection.stream):
                 self.busy.add(connection)
                 return connection
             await connection.aclose()
@@ -262,51 +272,58 @@
             return connection
         return NotSent("no connection: timeout")
 
-    async def give_back(self, connection: ServerConnection) -> None:
-        """Keep a connection for the next request, or close it."""
+    async def release(self, connection: ServerConnection) -> None:
+        """Return a connection to the pool, or close it if it is not reusable."""
         self.busy.discard(connection)
         if connection.is_reusable:
             connection.is_reusable = False
-            life = connection.server.incarnation
-            self.idle.setdefault(life, []).append(connection)
+            incarnation = connection.server.incarnation
+            self.idle.setdefault(incarnation, []).append(connection)
         else:
             await connection.aclose()
 
-    async def close_all(self, life: ServerIncarnation) -> None:
-        """Close the idle connections to a life of a server that is over."""
-        for connection in self.idle.pop(life, []):
+    async def close_all(self, incarnation: ServerIncarnation) -> None:
+        """Close the idle connections to an incarnation that has ended."""
+        for connection in self.idle.pop(incarnation, []):
             await connection.aclose()
 
-    def note_over(self, life: ServerIncarnation) -> None:
-        """Take note that the next life of a server has replaced one."""
-        self.over[life] = trio.current_time()
+    def record_replaced(self, incarnation: ServerIncarnation) -> None:
+        """Record that an incarnation of a server was replaced by its successor."""
+        self.replaced_times[incarnation] = trio.current_time()
 
-    async def close_quiet(self) -> None:
-        """Close connections in use to lives that are over, once they are quiet.
+    async def close_replaced(self) -> None:
+        """Close connections in use to replaced incarnations that receive nothing.
 
-        A machine that lost power resets nothing, and a stream on it would wait until
-        its caller leaves; closed, one that may be resumed goes on elsewhere. What was
-        on its way still arrives within the time.
+        A machine that lost power sends no reset, and a stream on it would wait until
+        its caller disconnects. After the close, a resumable stream continues on another
+        server. Bytes already in transit arrive within `REPLACED_IDLE_TIMEOUT_S`.
         """
         now_s = trio.current_time()
         for connection in list(self.busy):
-            over_s = self.over.get(connection.server.incarnation)
-            if over_s is None:
+            replaced_s = self.replaced_times.get(connection.server.incarnation)
+            if replaced_s is None:
                 continue
-            if now_s - max(over_s, connection.heard_s) > QUIET_S:
+            if (
+                now_s - max(replaced_s, connection.last_received_s)
+                > REPLACED_IDLE_TIMEOUT_S
+            ):
                 await connection.aclose()
         # Longer than any request lasts, so that none is left there.
-        self.over = {k: v for k, v in self.over.items() if now_s - v < OVER_S}
+        self.replaced_times = {
+            k: v for k, v in self.replaced_times.items() if now_s - v < REPLACED_TTL_S
+        }
 
     async def clean_up(self) -> None:
         """Close connections that were idle for too long."""
         now_s = trio.current_time()
-        if self.over:
-            await self.close_quiet()
-        for life, connections in list(self.idle.items()):
-            stale = [c for c in connections if c.idle_until_s <= now_s]
-            self.idle[life] = [c for c in connections if c.idle_until_s > now_s]
-            if not self.idle[life]:
-                del self.idle[life]
-            for connection in stale:
+        if self.replaced_times:
+            await self.close_replaced()
+        for incarnation, connections in list(self.idle.items()):
+            expired = [c for c in connections if c.reuse_deadline_s <= now_s]
+            self.idle[incarnation] = [
+                c for c in connections if c.reuse_deadline_s > now_s
+            ]
+            if not self.idle[incarnation]:
+                del self.idle[incarnation]
+            for connection in expired:
                 await connection.aclose()
--- a/src/rosemaryknot/connection/http_client.py
+++ b/src/rosemaryknot/connection/http_client.py
@@ -1,4 +1,4 @@
-"""An httpx client whose connections come from our `Network`."""
+"""An httpx client whose connections are opened by a `Network`."""
 
 import select
 import ssl
@@ -30,7 +30,7 @@
 }
 
 
-def mapped_error(error: Exception) -> Exception:
+def map_error(error: Exception) -> Exception:
     """Return the httpx error for an httpcore error."""
     for known, target in ERRORS.items():
         if isinstance(error, known):
@@ -39,13 +39,13 @@
 
 
 class HttpStream(httpcore.AsyncNetworkStream):
-    """A stream of ours as httpcore wants it."""
+    """Adapter of a trio stream to httpcore's stream interface."""
 
     def __init__(self, stream: trio.abc.HalfCloseableStream) -> None:
         self.stream = stream
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Read what has arrived, at most ``max_bytes``."""
+        """Read the bytes that have arrived, at most ``max_bytes``."""
         try:
             if timeout is None:
                 return bytes(await self.stream.receive_some(max_bytes))
@@ -69,7 +69,7 @@
             raise httpcore.WriteError from error
 
     async def aclose(self) -> None:
-        """Close the stream without waiting for the other end."""
+        """Close the stream without waiting for the peer."""
         await trio.aclose_forcefully(self.stream)
 
     async def start_tls(
@@ -78,19 +78,19 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Refuse: backend servers are reached by plain TCP."""
-        raise httpcore.ConnectError("no TLS on this network")
+        """Raise an error, since backend servers are reached without TLS."""
+        raise httpcore.ConnectError("TLS is not supported")
 
     def get_extra_info(self, info: str) -> Any:
-        """Tell whether the stream is readable; nothing else is asked."""
+        """Return whether the stream is readable; httpcore requests nothing else."""
         return is_readable(self.stream) if info == "is_readable" else None
 
 
 def is_readable(stream: trio.abc.HalfCloseableStream) -> bool:
-    """Tell whether a read would return at once.
+    """Return whether a read would return immediately.
 
-    A server closes connections that were idle for a while. A request sent over one
-    that is closed already looks as if it had been lost on the way.
+    An idle connection is readable if the server has closed it. A request sent on a
+    closed connection cannot be distinguished from one that was lost in transit.
     """
     if not isinstance(stream, trio.SocketStream):
         return stream.is_readable()
@@ -103,7 +103,7 @@
 
 
 class HttpNetwork(httpcore.AsyncNetworkBackend):
-    """Our network as httpcore wants it."""
+    """Adapter of a `Network` to httpcore's network backend interface."""
 
     def __init__(self, network: Network) -> None:
         self.network = network
@@ -126,40 +126,40 @@
             raise httpcore.ConnectError(str(error)) from error
 
     async def connect_unix_socket(self, path: str, **options: Any) -> HttpStream:
-        """Refuse: there are no local sockets."""
-        raise httpcore.ConnectError("no unix sockets")
+        """Raise an error, since only TCP is supported."""
+        raise httpcore.ConnectError("Unix sockets are not supported")
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep in the run's own time."""
+        """Sleep on the trio clock, which may be virtual."""
         await trio.sleep(seconds)
 
 
 class BodyStream(httpx.AsyncByteStream):
-    """Response body that maps errors to httpx's."""
+    """Response body that maps httpcore errors to httpx errors."""
 
     def __init__(self, stream: Any) -> None:
         self.stream = stream
 
     async def __aiter__(self):
-        """Yield the body's chunks as they arrive."""
+        """Yield the chunks of the body as they arrive."""
         try:
             async for chunk in self.stream:
                 yield chunk
         except Exception as error:
-            raise mapped_error(error) from error
+            raise map_error(error) from error
 
     async def aclose(self) -> None:
-        """Give the connection back, or close it when the body is not whole."""
+        """Return the connection to the pool, or close it if the body is incomplete."""
         await self.stream.aclose()
 
 
 class NetworkTransport(httpx.AsyncBaseTransport):
-    """httpx transport over our network.
+    """httpx transport with a connection pool over a `Network`.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     """
 
     def __init__(self, network: Network) -> None:
@@ -172,7 +172,7 @@
         )
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send a request and return the response with its open body."""
+        """Send a request and return the response with its body unread."""
         target = httpcore.URL(
             scheme=request.url.raw_scheme,
             host=request.url.raw_host,
@@ -189,7 +189,7 @@
         try:
             response = await self.pool.handle_async_request(core_request)
         except Exception as error:
-            raise mapped_error(error) from error
+            raise map_error(error) from error
         return httpx.Response(
             status_code=response.status,
             headers=response.headers,
@@ -203,19 +203,19 @@
 
 
 def http_client(network: Network, timeout_s: float | None = 5.0) -> httpx.AsyncClient:
-    """Return a client over the network.
+    """Return an httpx client over a `Network`.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     timeout_s : float or None
-        Bound on connecting and on each read and write, in seconds.
+        Timeout for connecting and for each read and write, in seconds.
 
     Returns
     -------
     client : httpx.AsyncClient
-        To be used as an async context manager.
+        Client to be used as an async context manager.
     """
     return httpx.AsyncClient(
         transport=NetworkTransport(network), timeout=timeout_s, trust_env=False
--- a/src/rosemaryknot/connection/http_server.py
+++ b/src/rosemaryknot/connection/http_server.py
@@ -1,7 +1,6 @@
-"""Serve a quart application by hypercorn over our `Network`.
+"""HTTP server that runs a quart application with hypercorn over a `Network`.
 
-Hypercorn's `TCPServer` is not documented as public; this is the only file that
-uses it.
+Hypercorn's `TCPServer` is not a documented public interface; only this module uses it.
 """
 
 from typing import Any
@@ -14,8 +13,8 @@
 from hypercorn.trio.worker_context import WorkerContext
 from quart_trio import QuartTrio
 
-from rosemaryknot.connection.connection_bound import ConnectionBound
-from rosemaryknot.connection.direct_write import WithDirectWrite
+from rosemaryknot.connection.connection_limit import ConnectionLimiter
+from rosemaryknot.connection.direct_write import DirectWriteMiddleware
 from rosemaryknot.connection.network import Network, send_now
 from rosemaryknot.values.nodes import Address
 
@@ -27,44 +26,46 @@
 
 
 class Connection(TCPServer):
-    """One connection of a caller.
+    """One caller's connection.
 
     Attributes
     ----------
     unsent : bytes
-        What `write_now` could not write; goes out before anything else.
+        Bytes that `write_now` could not write; written before anything else.
     """
 
     def __init__(self, app: Any, *args: Any) -> None:
-        super().__init__(WithDirectWrite(app, self), *args)
+        super().__init__(DirectWriteMiddleware(app, self), *args)
         self.read_scope = trio.CancelScope()
         self.unsent = b""
 
     async def protocol_send(self, event: Event) -> None:
-        """Carry out what hypercorn has decided; the writes are our own."""
+        """Handle an event of hypercorn; writes are implemented by `write`."""
         if isinstance(event, RawData):
             await self.write(event.data)
         else:
             await self.send_event(event)
 
     def write_now(self, data: bytes) -> None:
-        """Write what the socket takes at once; the rest is kept for `write`.
+        """Write as much as possible without waiting; buffer the rest for `write`.
+
+        To be called only while `unsent` is empty and `send_lock` is free.
 
         Parameters
         ----------
         data : bytes
-            To be given only while `unsent` is empty and the lock is free.
+            Bytes to write.
         """
         self.unsent = data[send_now(self.stream, data) :]
 
     async def write(self, data: bytes) -> None:
-        """Write what is kept and then the data to a caller, who may never read.
+        """Write the buffered bytes and then the data, with a timeout.
 
-        Hypercorn shields its write from every cancellation, so no bound around it
-        works: a caller who stops reading holds the task and its answer for ever, and
-        a planned stop never ends. Hence a write of our own. Closing the connection
-        after `WRITE_TIMEOUT_S` is enough, since an accepted answer can be picked up
-        again by its id.
+        Hypercorn shields its write from cancellation, so a timeout around it has no
+        effect: a caller that stops reading would hold the task and its response
+        indefinitely, and a graceful shutdown would never end. Closing the connection
+        after `WRITE_TIMEOUT_S` is acceptable, since the response to an accepted request
+        can be fetched again by its id.
         """
         is_written = False
         async with self.send_lock:
@@ -80,12 +81,12 @@
             await self.protocol.handle(Closed())
 
     async def send_event(self, event: Event) -> None:
-        """Carry out what is not a write, also when the application is cancelled.
+        """Handle an event other than a write, even if the application is cancelled.
 
-        The end of an answer cancels the application's task, which is just closing
-        the connection or starting its idle bound. Hypercorn leaves the connection
-        open then, without a bound: a caller who sends its body byte by byte would
-        hold it and its reading task for good.
+        The end of a response cancels the application task, which may be closing the
+        connection or starting its idle timeout at that moment. Hypercorn would then
+        leave the connection open without a timeout, and a caller that sends its body
+        byte by byte would hold the connection and its reading task indefinitely.
         """
         with trio.CancelScope(shield=True):
             await super().protocol_send(event)
@@ -93,18 +94,18 @@
             self.read_scope.cancel()
 
     async def _read_data(self) -> None:
-        """Read until the connection ends, on either side."""
-        self.refuse_upgrades()
+        """Read until either end closes the connection."""
+        self.disable_upgrades()
         with self.read_scope:
             await super()._read_data()
-        # Hypercorn would wait for the idle bound of a connection that is gone.
+        # Hypercorn would wait for the idle timeout of the closed connection.
         await self.idle_task.stop()
 
-    def refuse_upgrades(self) -> None:
-        """Stay with HTTP/1.1.
+    def disable_upgrades(self) -> None:
+        """Disable protocol upgrades, so that only HTTP/1.1 is used.
 
-        An HTTP/2 caller who opens no flow-control window stops an answer inside
-        hypercorn, where no bound on writes holds.
+        An HTTP/2 caller that opens no flow-control window blocks a response inside
+        hypercorn, where the write timeout does not apply.
         """
 
         async def check_protocol(event: object) -> None:
@@ -114,16 +115,16 @@
 
 
 class HttpServer:
-    """A quart application on an address of the network.
+    """HTTP server for a quart application.
 
     Parameters
     ----------
     app : QuartTrio
         The application.
     network : Network
-        Where to listen.
+        Network to listen on.
     max_connections : int, optional
-        Connections that are handled at once; by default without a bound.
+        Maximum number of concurrent connections; unlimited by default.
     """
 
     def __init__(
@@ -150,9 +151,9 @@
         Parameters
         ----------
         address : Address
-            Where to listen; port 0 takes a free one.
+            Address to listen on; port 0 selects a free port.
         task_status : trio.TaskStatus
-            Told the bound address.
+            Receives the bound address.
         """
         wrapped = ASGIWrapper(self.app)
 
@@ -160,9 +161,9 @@
             await Connection(wrapped, self.config, self.context, {}, stream).run()
 
         if self.max_connections is not None:
-            handle = ConnectionBound(handle, self.max_connections).handle
+            handle = ConnectionLimiter(handle, self.max_connections).handle
         await self.network.listen(address, handle, task_status=task_status)
 
     async def close_idle(self) -> None:
-        """Let idle connections end; those with a request in flight go on."""
+        """Close idle connections; those with a request in flight continue."""
         await self.context.terminated.set()
--- a/src/rosemaryknot/connection/link_compression.py
+++ b/src/rosemaryknot/connection/link_compression.py
@@ -4,64 +4,65 @@
 
 import zstandard
 
-from rosemaryknot.values.compression import CompressionError, unpacked
+from rosemaryknot.values.compression import CompressionError, decompress_frame
 from rosemaryknot.values.messages import MessageError
 
-__all__ = ["ZSTD", "compressed", "decompressed"]
+__all__ = ["ZSTD", "compress", "decompress"]
 
 ZSTD = "zstd"
-"""Name of the compression in a hello."""
+"""Name of the compression in `Hello.compression`."""
 
-# A smaller frame takes one packet either way.
-LEAST_BYTES = 1024
+# A smaller frame takes one packet with or without compression.
+MIN_COMPRESSED_BYTES = 1024
 COMPRESSOR = zstandard.ZstdCompressor()
 
 
-def compressed(payload: bytes) -> bytes:
-    """Return a frame's payload as it goes out, compressed where that is worth it."""
-    return payload if len(payload) < LEAST_BYTES else compressed_once(payload)
+def compress(payload: bytes) -> bytes:
+    """Return a frame's payload, compressed if it is large enough to benefit."""
+    return payload if len(payload) < MIN_COMPRESSED_BYTES else compress_cached(payload)
 
 
-# One message is often sent on many links in a row.
+# The same message is often sent on many links in a row.
 @lru_cache(maxsize=1)
-def compressed_once(payload: bytes) -> bytes:
-    """Return a payload compressed."""
+def compress_cached(payload: bytes) -> bytes:
+    """Return the compressed payload, cached for the last payload."""
     return COMPRESSOR.compress(payload)
 
 
-def decompressed(payload: bytes, limit: int) -> bytes:
-    """Return a frame's payload as it was before `compressed`.
+def decompress(payload: bytes, limit: int) -> bytes:
+    """Return a frame's payload, decompressed if it is compressed.
 
-    An encoded message begins with the mark of an array, which no compressed one does.
+    An uncompressed message starts with a msgpack array marker, with which no
+    compressed one starts.
 
     Parameters
     ----------
     payload : bytes
-        As it came.
+        Payload as received.
     limit : int
-        Most bytes that it may have.
+        Maximum size of the decompressed payload, in bytes.
 
     Returns
     -------
     payload : bytes
-        An encoded message.
+        Encoded message.
 
     Raises
     ------
     MessageError
-        If it cannot be decompressed, or to more than the limit.
+        If the payload cannot be decompressed or exceeds the limit.
 
     Examples
     --------
     >>> message = b"report" * 1000
-    >>> len(compressed(message)) < 100
+    >>> len(compress(message)) < 100
     True
-    >>> decompressed(compressed(message), 6000) == message
+    >>> decompress(compress(message), 6000) == message
     True
     """
     if not payload.startswith(zstandard.FRAME_HEADER):
         return payload
     try:
-        return unpacked(payload, limit)
+        return decompress_frame(payload, limit)
     except CompressionError as error:
         raise MessageError(str(error)) from error
--- a/src/rosemaryknot/connection/link_handlers.py
+++ b/src/rosemaryknot/connection/link_handlers.py
@@ -1,4 +1,4 @@
-"""Registry of what a process does with the messages of its links."""
+"""Registry of the message handlers of a process."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, TypeVar
@@ -14,7 +14,7 @@
 
 
 class Handlers:
-    """Registry of what a process does with each kind of message.
+    """Registry of message handlers by type of message.
 
     Examples
     --------
@@ -33,17 +33,20 @@
     ) -> Callable[
         [Callable[[MessageType, "MessageLink"], Awaitable[Message | None]]], Callable
     ]:
-        """Register an async function of message and link that returns the reply.
+        """Return a decorator that registers a handler.
+
+        A handler is an async function of a message and its link. It returns the reply,
+        or None.
 
         Parameters
         ----------
         message_type : type
-            Kind of message that the function handles.
+            Type of message that the handler accepts.
 
         Returns
         -------
         decorator : callable
-            Returns the function unchanged.
+            Decorator that returns the function unchanged.
         """
 
         def register(function: Callable) -> Callable:
--- a/src/rosemaryknot/connection/link_hello.py
+++ b/src/rosemaryknot/connection/link_hello.py
@@ -1,4 +1,4 @@
-"""Frames, and the exchange of hellos by which two ends prove the cluster key."""
+"""Framing of a link, and the handshake in which both ends prove the cluster key."""
 
 import hashlib
 import hmac
@@ -23,7 +23,7 @@
 
 
 class FrameReader:
-    """Cuts a stream into frames."""
+    """Reader that splits a stream into frames."""
 
     def __init__(self, stream: trio.abc.ReceiveStream) -> None:
         self.stream = stream
@@ -48,18 +48,18 @@
         return await self.read_exactly(size)
 
 
-def proof_of(key: bytes, nonce: bytes, hello: bytes) -> Proof:
-    """Return the proof for the other end's nonce and a hello as it was sent.
+def compute_proof(key: bytes, nonce: bytes, hello: bytes) -> Proof:
+    """Return the proof for the peer's nonce and a hello as it was sent.
 
-    It covers the bytes on the wire: a newer peer's hello holds fields that this
-    release drops, and would not be the same when encoded again.
+    The proof covers the bytes on the wire. The hello of a newer peer may have fields
+    that this release drops, so that it would differ when encoded again.
     """
     return Proof(hmac.new(key, nonce + hello, hashlib.sha256).digest())
 
 
 @contextmanager
-def hello_bounds() -> Iterator[None]:
-    """Bound the exchange of hellos in time, and map its errors."""
+def hello_timeout() -> Iterator[None]:
+    """Limit the duration of the handshake, and map its errors to `LinkClosed`."""
     try:
         with trio.fail_after(HELLO_TIMEOUT_S):
             yield
@@ -73,12 +73,12 @@
 
 
 async def send_raw(stream: trio.abc.SendStream, payload: bytes) -> None:
-    """Write one frame outside of a link."""
+    """Write one frame before the link is established."""
     await stream.send_all(len(payload).to_bytes(4, "big") + payload)
 
 
 async def read_hello(reader: FrameReader) -> tuple[Hello, bytes]:
-    """Read the other end's hello; return it with its bytes."""
+    """Read the peer's hello; return it with its encoded bytes."""
     payload = await reader.read_frame(MAX_HELLO_BYTES)
     value, _, _ = decode_message(payload)
     if not isinstance(value, Hello) or not is_well_formed(value):
@@ -87,7 +87,7 @@
 
 
 def is_well_formed(hello: Hello) -> bool:
-    """Tell whether the fields of a hello have their types."""
+    """Return whether the fields of a hello have the expected types."""
     texts = (hello.name, hello.zone, hello.role, hello.address, hello.compression)
     return (
         all(isinstance(text, str) for text in texts)
@@ -97,16 +97,22 @@
     )
 
 
-async def check_proof(
+async def verify_proof(
     reader: FrameReader, key: bytes, hello_sent: bytes, hello_read: bytes
 ) -> None:
-    """Read the other end's proof and compare it."""
+    """Read and verify the peer's proof.
+
+    Raises
+    ------
+    LinkClosed
+        If the proof is missing or was made with another key.
+    """
     ours, _, _ = decode_message(hello_sent)
     value, _, _ = decode_message(await reader.read_frame(MAX_HELLO_BYTES))
     if not isinstance(value, Proof) or not isinstance(value.mac, bytes):
         raise LinkClosed("expected proof")
-    wanted = proof_of(key, ours.nonce, hello_read)
-    if not hmac.compare_digest(value.mac, wanted.mac):
+    expected = compute_proof(key, ours.nonce, hello_read)
+    if not hmac.compare_digest(value.mac, expected.mac):
         raise LinkClosed("wrong cluster key")
 
 
@@ -119,44 +125,44 @@
 ) -> Hello:
     """Exchange hellos and proofs over a new connection.
 
-    The dialling end speaks first, the accepting end proves the key first.
+    The dialling end sends its hello first; the accepting end sends its proof first.
 
     Parameters
     ----------
     stream : trio.abc.HalfCloseableStream
         The connection.
     reader : FrameReader
-        Reads it.
+        Reader of the stream.
     key : bytes
         Cluster key.
     hello : Hello
-        What we say of ourselves; its nonce is replaced.
+        Hello of this process; its nonce is replaced.
     is_dialled : bool
-        Whether this end dialled.
+        Whether this process dialled the connection.
 
     Returns
     -------
     hello : Hello
-        What the other end says of itself.
+        Hello of the peer.
 
     Raises
     ------
     LinkClosed
-        If the other end does not prove that it holds the key.
+        If the peer does not prove that it holds the key.
     """
     nonce = secrets.token_bytes(NONCE_BYTES)
     sent = encode_message(replace(hello, nonce=nonce, compression=ZSTD))
-    with hello_bounds():
+    with hello_timeout():
         if is_dialled:
             await send_raw(stream, sent)
             theirs, received = await read_hello(reader)
-            await check_proof(reader, key, sent, received)
-            proof = proof_of(key, theirs.nonce, sent)
+            await verify_proof(reader, key, sent, received)
+            proof = compute_proof(key, theirs.nonce, sent)
             await send_raw(stream, encode_message(proof))
         else:
             theirs, received = await read_hello(reader)
-            proof = proof_of(key, theirs.nonce, sent)
+            proof = compute_proof(key, theirs.nonce, sent)
             await send_raw(stream, sent)
             await send_raw(stream, encode_message(proof))
-            await check_proof(reader, key, sent, received)
+            await verify_proof(reader, key, sent, received)
     return theirs
--- a/src/rosemaryknot/connection/link_messages.py
+++ b/src/rosemaryknot/connection/link_messages.py
@@ -1,4 +1,4 @@
-"""The messages of the links themselves, and what a call without an answer gives."""
+"""Messages of the link protocol, and the outcome of calls without a reply."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -7,7 +7,7 @@
 from rosemaryknot.values.nodes import Node
 
 __all__ = [
-    "Beat",
+    "Heartbeat",
     "Busy",
     "CallFailed",
     "Hello",
@@ -22,7 +22,7 @@
 @message("hello")
 @dataclass(slots=True)
 class Hello(Message):
-    """First message of each end.
+    """First message that each end sends.
 
     Attributes
     ----------
@@ -31,13 +31,14 @@
     role : str
         ``agent`` or ``entry``.
     nonce : bytes
-        Random bytes that the other end's proof must cover.
+        Random bytes that the peer's proof must cover.
     protocol : int
         Version of the link protocol.
     address : str
-        Where the sender accepts links, or empty.
+        Address on which the sender accepts links, or empty.
     compression : str
-        Of frames that the sender can read besides plain ones, or empty.
+        Compression of frames that the sender can read, or empty if it reads only
+        uncompressed ones.
     """
 
     kind: ClassVar[str]
@@ -59,7 +60,7 @@
 @message("proof")
 @dataclass(slots=True)
 class Proof(Message):
-    """Shows that the sender holds the cluster key."""
+    """Proof that the sender holds the cluster key."""
 
     kind: ClassVar[str]
     mac: bytes
@@ -67,8 +68,8 @@
 
 @message("beat")
 @dataclass(slots=True)
-class Beat(Message):
-    """Heartbeat: shows that the sender is there and the link carries its bytes."""
+class Heartbeat(Message):
+    """Heartbeat, which shows that the sender is alive and the link delivers data."""
 
     kind: ClassVar[str]
 
@@ -76,7 +77,7 @@
 @message("busy")
 @dataclass(slots=True)
 class Busy(Message):
-    """Answer to a call that the other end has no room to handle."""
+    """Reply to a call that was rejected because too many handlers are running."""
 
     kind: ClassVar[str]
 
@@ -84,21 +85,21 @@
 @message("unsupported")
 @dataclass(slots=True)
 class Unsupported(Message):
-    """Answer to a call that the other end knows no handler for."""
+    """Reply to a call for which the peer has no handler."""
 
     kind: ClassVar[str]
 
 
 @dataclass(slots=True)
 class CallFailed:
-    """A call without an answer.
+    """Outcome of a call without a reply.
 
     Attributes
     ----------
     reason : str
         ``timeout``, ``closed``, ``busy`` or ``unsupported``.
     maybe_handled : bool
-        Whether the other end may have handled the call all the same.
+        Whether the peer may have handled the call nevertheless.
     """
 
     reason: str
@@ -106,4 +107,4 @@
 
 
 class LinkClosed(Exception):
-    """The link ended, or its other end broke the protocol."""
+    """The link was closed, or the peer violated the protocol."""
--- a/src/rosemaryknot/connection/link_traffic.py
+++ b/src/rosemaryknot/connection/link_traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what the links of a process carry."""
+"""Counters of the messages on the links of a process."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class KindTraffic:
-    """Messages and bytes of one kind.
+    """Number of messages and bytes of one kind of message.
 
     Attributes
     ----------
     messages, bytes : int
-        Counts, frame headers included.
+        Number of messages, and of bytes including frame headers.
     """
 
     messages: int = 0
@@ -20,14 +20,14 @@
 
 
 class Traffic:
-    """Counts what the links of a process send and receive, by kind of message.
+    """Counters of sent and received messages, by kind of message.
 
     Attributes
     ----------
     sent, received : dict of str to KindTraffic
-        Counts by message kind.
+        Counters by kind of message.
     unreadable : int
-        Links closed because of a message that could not be read.
+        Links closed because a message could not be decoded.
     unsupported : int
         Messages of a kind without a handler.
     """
@@ -39,13 +39,13 @@
         self.unsupported = 0
 
     def add_sent(self, kind: str, size_bytes: int) -> None:
-        """Count one message sent."""
+        """Count one sent message."""
         count = self.sent.setdefault(kind, KindTraffic())
         count.messages += 1
         count.bytes += size_bytes
 
     def add_received(self, kind: str, size_bytes: int) -> None:
-        """Count one message received."""
+        """Count one received message."""
         count = self.received.setdefault(kind, KindTraffic())
         count.messages += 1
         count.bytes += size_bytes
--- a/src/rosemaryknot/connection/links.py
+++ b/src/rosemaryknot/connection/links.py
@@ -1,11 +1,11 @@
-"""Message links: one authenticated stream between two of our processes.
-
-A frame is a length and a msgpack array (see `rosemaryknot.values.messages`). Both
-ends prove in the hello that they hold the cluster key. One task reads a link and
-one writes it, with a heartbeat when nothing else was sent for a second. Each message
-is handled in a task of its own, so that one slow handler does not hold up
-heartbeats. Messages may therefore be handled in another order than they were sent:
-what must not go back carries a number.
+"""Message links: authenticated streams between two processes of a cluster.
+
+A frame consists of a length and a msgpack array (see `rosemaryknot.values.messages`).
+In the handshake, both ends prove that they hold the cluster key. One task reads a link
+and one writes it; a heartbeat is sent if nothing else was sent for a second. Each
+message is handled in its own task, so that a slow handler does not delay heartbeats.
+Messages may therefore be handled out of order: state that must not go backwards
+carries a version number.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,8 +14,8 @@
 
 from rosemaryknot.connection.link_compression import (
     ZSTD,
-    compressed,
-    decompressed,
+    compress,
+    decompress,
 )
 from rosemaryknot.connection.link_handlers import Handlers
 from rosemaryknot.connection.link_hello import (
@@ -24,9 +24,9 @@
     exchange_hellos,
 )
 from rosemaryknot.connection.link_messages import (
-    Beat,
     Busy,
     CallFailed,
+    Heartbeat,
     Hello,
     LinkClosed,
     Unsupported,
@@ -56,36 +56,36 @@
 MAX_HANDLERS = 2048
 SEND_TIMEOUT_S = 5.0
 HEARTBEAT_S = 1.0
-SHORTEST_SLEEP_S = 0.001
+MIN_SLEEP_S = 0.001
 SLOW_WRITE_S = 0.5
 
 log = logger("links")
 
-REFUSALS = {Busy: "busy", Unsupported: "unsupported"}
+REFUSAL_REASONS = {Busy: "busy", Unsupported: "unsupported"}
 
 
 class MessageLink:
-    """One link, after both hellos.
+    """An established link, after the exchange of hellos.
 
     Parameters
     ----------
     stream : trio.abc.HalfCloseableStream
         The connection.
     reader : FrameReader
-        Reads the stream.
+        Reader of the stream.
     hello : Hello
-        What the other end said of itself.
+        Hello of the peer.
     handlers : Handlers
-        What to do with incoming messages.
+        Handlers of incoming messages.
     traffic : Traffic, optional
-        Counts the messages.
+        Counters of messages.
 
     Attributes
     ----------
     hello : Hello
-        What the other end said of itself.
-    last_heard_s : float
-        When the last frame came, in trio time.
+        Hello of the peer.
+    last_received_s : float
+        When the last frame was received, in trio time.
     opened_s : float
         When the hellos were exchanged, in trio time.
     is_closed : bool
@@ -105,84 +105,87 @@
         self.hello = hello
         self.handlers = handlers
         self.traffic = Traffic() if traffic is None else traffic
-        self.waiting: dict[int, tuple[trio.Event, list[Message]]] = {}
-        self.last_call = 0
+        self.pending_calls: dict[int, tuple[trio.Event, list[Message]]] = {}
+        self.last_call_number = 0
         self.is_closed = False
         self.end_reason = ""
         self.opened_s = trio.current_time()
-        self.last_heard_s = self.opened_s
+        self.last_received_s = self.opened_s
         self.last_sent_s = self.opened_s
         self.output = bytearray()
         self.is_writing = False
         self.output_changed = trio.lowlevel.ParkingLot()
 
     async def queue_frame(self, kind: str, payload: bytes) -> None:
-        """Queue one frame; a peer that never reads closes the link.
+        """Queue one frame; close the link if the peer does not read.
 
-        A cancelled sender leaves either the whole frame in the queue or nothing of
-        it. Writing the stream from the senders would let a caller who hangs up
-        leave half a frame behind, which costs every other user of the link.
+        A cancelled sender leaves either the whole frame in the queue or nothing. If
+        senders wrote to the stream directly, cancelling one could leave a partial
+        frame behind, which would break the link for all its users.
         """
         if len(payload) + 4 > MAX_FRAME_BYTES:
             raise ValueError(f"{kind} message of {len(payload)} bytes is too large")
         payload = self.packed(payload)
         size = len(payload) + 4
-        if not self.has_room(size):
-            await self.wait_for_room(size)
+        if not self.has_capacity(size):
+            await self.wait_for_capacity(size)
         if self.is_closed:
             raise LinkClosed(self.end_reason)
         self.append_frame(kind, payload)
 
     def put(self, kind: str, payload: bytes) -> bool:
-        """Queue an encoded message if that needs no wait.
+        """Queue an encoded message if that is possible without waiting.
 
         Parameters
         ----------
         kind : str
-            Its kind.
+            Kind of the message.
         payload : bytes
-            Made by `rosemaryknot.values.messages.encode_message`.
+            Message encoded by `rosemaryknot.values.messages.encode_message`.
 
         Returns
         -------
         queued : bool
-            False where the link is closed or full.
+            False if the link is closed or its queue is full.
         """
         if self.is_closed or len(payload) + 4 > MAX_FRAME_BYTES:
             return False
         payload = self.packed(payload)
-        if not self.has_room(len(payload) + 4):
+        if not self.has_capacity(len(payload) + 4):
             return False
         self.append_frame(kind, payload)
         return True
 
     def packed(self, payload: bytes) -> bytes:
-        """Return a payload as it goes out on this link."""
-        return compressed(payload) if self.hello.compression == ZSTD else payload
+        """Return a payload, compressed if the peer supports it."""
+        return compress(payload) if self.hello.compression == ZSTD else payload
 
     def append_frame(self, kind: str, payload: bytes) -> None:
-        """Queue one frame, for which there is room."""
+        """Append one frame to the queue, which must have capacity for it."""
         size = len(payload) + 4
         self.output += len(payload).to_bytes(4, "big") + payload
         self.output_changed.unpark_all()
         self.last_sent_s = trio.current_time()
         self.traffic.add_sent(kind, size)
 
-    def has_room(self, size: int) -> bool:
-        """Tell whether a frame may be queued; on a closed link it fails later."""
+    def has_capacity(self, size: int) -> bool:
+        """Return whether a frame may be queued.
+
+        True on a closed link, where queueing fails with `LinkClosed` afterwards.
+        """
         fits = len(self.output) + size <= MAX_QUEUED_BYTES
         return self.is_closed or not self.output or fits
 
-    async def wait_for_room(self, size: int) -> None:
-        """Wait until a frame may be queued; close the link where none is read."""
+    async def wait_for_capacity(self, size: int) -> None:
+        """Wait until a frame may be queued; close the link at the timeout."""
         with trio.move_on_after(SEND_TIMEOUT_S) as scope:
-            while not self.has_room(size):
+            while not self.has_capacity(size):
                 await self.output_changed.park()
         if scope.cancelled_caught:
             self.close("the other end does not read")
 
     async def write_output(self) -> None:
-        """Write what is queued, in as few writes as there is time for."""
+        """Write the queue, coalescing the frames that accumulate during a write."""
         while not self.is_closed:
             if not self.output:
                 await self.output_changed.park()
@@ -190,18 +193,18 @@
             data, self.output = self.output, bytearray()
             self.is_writing = True
             self.output_changed.unpark_all()
-            began_s = trio.current_time()
+            started_s = trio.current_time()
             with trio.fail_after(SEND_TIMEOUT_S):
                 await self.stream.send_all(data)
-            self.note_write(len(data), trio.current_time() - began_s)
+            self.log_slow_write(len(data), trio.current_time() - started_s)
             self.is_writing = False
             self.output_changed.unpark_all()
 
-    def note_write(self, size: int, took_s: float) -> None:
-        """Log a write that the link held up."""
+    def log_slow_write(self, size: int, took_s: float) -> None:
+        """Log a write that took longer than `SLOW_WRITE_S`."""
         if took_s > SLOW_WRITE_S:
             log.warning(
-                "slow write",
+                "slow write to link",
                 peer=self.hello.name,
                 bytes=size,
                 took_s=round(took_s, 3),
@@ -209,52 +212,54 @@
             )
 
     async def send_heartbeats(self) -> None:
-        """Send a heartbeat whenever nothing else was sent for a while."""
+        """Send a heartbeat whenever nothing else was sent for `HEARTBEAT_S`."""
         while not self.is_closed:
             due_s = self.last_sent_s + HEARTBEAT_S
             if due_s > trio.current_time():
                 await trio.sleep_until(due_s)
-            elif not await self.send(Beat()):
+            elif not await self.send(Heartbeat()):
                 return
 
     def silence_s(self) -> float:
-        """Return for how many seconds nothing has come."""
-        return trio.current_time() - self.last_heard_s
+        """Return the seconds since the last frame was received."""
+        return trio.current_time() - self.last_received_s
 
     def age_s(self) -> float:
-        """Return for how many seconds the link has been open."""
+        """Return the seconds since the link was opened."""
         return trio.current_time() - self.opened_s
 
-    async def close_when_silent(self, bound_s: float) -> None:
-        """Close the link once nothing has come for a time; runs beside `run`.
+    async def close_when_silent(self, timeout_s: float) -> None:
+        """Close the link once nothing was received for a time.
+
+        To be run concurrently with `run`.
 
         Parameters
         ----------
-        bound_s : float
-            Longest silence, in seconds; more than `HEARTBEAT_S`.
+        timeout_s : float
+            Maximum silence, in seconds; longer than `HEARTBEAT_S`.
         """
         while not self.is_closed:
-            left_s = bound_s - self.silence_s()
-            if left_s <= 0:
+            remaining_s = timeout_s - self.silence_s()
+            if remaining_s <= 0:
                 self.close("silent")
-            # A rest too small to change the clock's floating-point value would make
-            # this loop spin without time passing.
-            await trio.sleep(max(left_s, SHORTEST_SLEEP_S))
+            # A sleep too short to change the floating-point value of the clock would
+            # make this loop spin without any time passing.
+            await trio.sleep(max(remaining_s, MIN_SLEEP_S))
 
     async def flush(self, timeout_s: float) -> None:
-        """Wait until everything queued is written, but no longer than the timeout.
+        """Wait until the queue is written, at most until the timeout.
 
         Parameters
         ----------
         timeout_s : float
-            Bound on the wait, in seconds.
+            Maximum wait, in seconds.
         """
         with trio.move_on_after(timeout_s):
             while (self.output or self.is_writing) and not self.is_closed:
                 await self.output_changed.park()
 
     async def send(self, value: Message) -> bool:
-        """Send a message that needs no answer.
+        """Send a one-way message.
 
         Parameters
         ----------
@@ -264,7 +269,7 @@
         Returns
         -------
         sent : bool
-            False where the link is closed; True is no proof of arrival.
+            False if the link is closed; True does not guarantee delivery.
         """
         try:
             await self.queue_frame(value.kind, encode_message(value))
@@ -273,26 +278,26 @@
         return True
 
     async def call(self, value: Message, timeout_s: float) -> Message | CallFailed:
-        """Send a message and wait for its answer.
+        """Send a request message and wait for the reply.
 
         Parameters
         ----------
         value : Message
-            The message.
+            The request message.
         timeout_s : float
-            Bound on the wait, in seconds.
+            Maximum wait, in seconds.
 
         Returns
         -------
-        answer : Message or CallFailed
-            The answer, or why there is none.
+        reply : Message or CallFailed
+            The reply, or why there is none.
         """
         if self.is_closed:
             return CallFailed("closed", maybe_handled=False)
-        self.last_call += 1
-        number = self.last_call
-        event, answers = trio.Event(), []
-        self.waiting[number] = (event, answers)
+        self.last_call_number += 1
+        number = self.last_call_number
+        event, replies = trio.Event(), []
+        self.pending_calls[number] = (event, replies)
         try:
             with trio.move_on_after(timeout_s):
                 await self.queue_frame(value.kind, encode_message(value, call=number))
@@ -300,20 +305,20 @@
         except LinkClosed:
             return CallFailed("closed", maybe_handled=True)
         finally:
-            del self.waiting[number]
-        if not answers:
+            del self.pending_calls[number]
+        if not replies:
             reason = "closed" if self.is_closed else "timeout"
             return CallFailed(reason, maybe_handled=True)
-        refusal = REFUSALS.get(type(answers[0]))
+        refusal = REFUSAL_REASONS.get(type(replies[0]))
         if refusal is not None:
             return CallFailed(refusal, maybe_handled=False)
-        return answers[0]
+        return replies[0]
 
     async def run(self) -> str:
         """Read and write messages until the link ends.
 
-        The handlers that still run when the link ends are cancelled: nobody can
-        get their answer any more.
+        Handlers that still run when the link ends are cancelled, since their replies
+        can no longer be delivered.
 
         Returns
         -------
@@ -322,19 +327,19 @@
         """
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.until_end, self.write_output, nursery)
+                nursery.start_soon(self.run_until_end, self.write_output, nursery)
                 nursery.start_soon(self.send_heartbeats)
-                await self.until_end(self.read_messages, nursery, nursery)
+                await self.run_until_end(self.read_messages, nursery, nursery)
         finally:
             self.close("cancelled")
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(self.stream)
         return self.end_reason
 
-    async def until_end(
+    async def run_until_end(
         self, work: Callable[..., Awaitable[None]], nursery: trio.Nursery, *args: object
     ) -> None:
-        """Read or write, and close the link when that is over."""
+        """Run a read or write loop, and close the link when the loop ends."""
         try:
             await work(*args)
         except LinkClosed as error:
@@ -349,64 +354,64 @@
         nursery.cancel_scope.cancel()
 
     async def read_messages(self, nursery: trio.Nursery) -> None:
-        """Hand each message to its handler or to the call that waits for it."""
+        """Dispatch each message to its handler or to the call that awaits it."""
         while not self.is_closed:
             payload = await self.reader.read_frame()
-            self.last_heard_s = trio.current_time()
-            message = decompressed(payload, MAX_FRAME_BYTES)
+            self.last_received_s = trio.current_time()
+            message = decompress(payload, MAX_FRAME_BYTES)
             value, call, reply_to = decode_message(message)
             self.traffic.add_received(value.kind, len(payload) + 4)
-            if isinstance(value, Beat):
+            if isinstance(value, Heartbeat):
                 continue
             if reply_to:
                 self.resolve(reply_to, value)
             elif len(nursery.child_tasks) <= MAX_HANDLERS:
                 nursery.start_soon(self.handle, value, call)
             elif call:
-                # Without a bound a flood of calls fills the memory of the node;
-                # the caller of a refused call knows that it was not handled.
+                # Without this limit, a flood of calls would exhaust the node's memory.
+                # `Busy` tells the peer that its call was not handled.
                 await self.reply(Busy(), call)
 
     async def handle(self, value: Message, call: int) -> None:
-        """Run the handler of one message and send its answer."""
+        """Run the handler of one message and send its reply."""
         handler = self.handlers.by_type.get(type(value))
         if handler is None:
             self.traffic.unsupported += 1
-            answer = Unsupported()
+            reply = Unsupported()
         else:
-            answer = await handler(value, self)
-        if call and answer is not None:
-            await self.reply(answer, call)
+            reply = await handler(value, self)
+        if call and reply is not None:
+            await self.reply(reply, call)
 
-    async def reply(self, answer: Message, call: int) -> None:
-        """Answer a call, if the link is still there."""
-        payload = encode_message(answer, reply_to=call)
+    async def reply(self, value: Message, call: int) -> None:
+        """Send the reply to a call, if the link is still open."""
+        payload = encode_message(value, reply_to=call)
         try:
-            await self.queue_frame(answer.kind, payload)
+            await self.queue_frame(value.kind, payload)
         except LinkClosed:
             return
 
     def resolve(self, number: int, value: Message) -> None:
-        """Give an answer to its call; one that comes too late is dropped."""
-        waiting = self.waiting.get(number)
-        if waiting is not None:
-            event, answers = waiting
-            answers.append(value)
+        """Pass a reply to the call that awaits it; drop a late reply."""
+        pending_call = self.pending_calls.get(number)
+        if pending_call is not None:
+            event, replies = pending_call
+            replies.append(value)
             event.set()
 
     def close(self, reason: str = "closed") -> None:
-        """End the link; calls that wait fail at once.
+        """Close the link; pending calls fail immediately.
 
         Parameters
         ----------
         reason : str
-            What `run` returns.
+            Reason that `run` returns.
         """
         if self.is_closed:
             return
         self.is_closed = True
         self.end_reason = reason
-        for event, _ in self.waiting.values():
+        for event, _ in self.pending_calls.values():
             event.set()
         self.output_changed.unpark_all()
 
@@ -418,7 +423,7 @@
     handlers: Handlers,
     traffic: Traffic | None = None,
 ) -> MessageLink:
-    """Make a link of a stream that we dialled.
+    """Establish a link over a stream that this process dialled.
 
     Parameters
     ----------
@@ -427,25 +432,25 @@
     key : bytes
         Cluster key.
     hello : Hello
-        What we say of ourselves; its nonce is replaced.
+        Hello of this process; its nonce is replaced.
     handlers : Handlers
-        What to do with incoming messages.
+        Handlers of incoming messages.
     traffic : Traffic, optional
-        Counts the messages.
+        Counters of messages.
 
     Returns
     -------
     link : MessageLink
-        Ready to `MessageLink.run`.
+        The link; the caller has to run `MessageLink.run`.
 
     Raises
     ------
     LinkClosed
-        If the other end does not prove that it holds the key.
+        If the peer does not prove that it holds the key.
     """
     reader = FrameReader(stream)
-    theirs = await exchange_hellos(stream, reader, key, hello, is_dialled=True)
-    return MessageLink(stream, reader, theirs, handlers, traffic)
+    peer_hello = await exchange_hellos(stream, reader, key, hello, is_dialled=True)
+    return MessageLink(stream, reader, peer_hello, handlers, traffic)
 
 
 async def accept_link(
@@ -455,7 +460,7 @@
     handlers: Handlers,
     traffic: Traffic | None = None,
 ) -> MessageLink:
-    """Make a link of a stream that we accepted; see `open_link`."""
+    """Establish a link over a stream that this process accepted; see `open_link`."""
     reader = FrameReader(stream)
-    theirs = await exchange_hellos(stream, reader, key, hello, is_dialled=False)
-    return MessageLink(stream, reader, theirs, handlers, traffic)
+    peer_hello = await exchange_hellos(stream, reader, key, hello, is_dialled=False)
+    return MessageLink(stream, reader, peer_hello, handlers, traffic)
--- a/src/rosemaryknot/connection/listener_state.py
+++ b/src/rosemaryknot/connection/listener_state.py
@@ -1,4 +1,4 @@
-"""What the connections of one listener for callers share, and its planned stop."""
+"""State shared by the connections of one caller listener, and its shutdown."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -6,17 +6,17 @@
 
 import trio
 
-from rosemaryknot.connection.owed_answers import OwedAnswers
+from rosemaryknot.connection.pending_responses import PendingResponses
 from rosemaryknot.values.gateway import CallerLimits, GatewayRequest
-from rosemaryknot.values.gateway_answers import GatewayWire, PlannedStop
+from rosemaryknot.values.gateway_responses import GatewayWire, ShutdownSchedule
 
 if TYPE_CHECKING:
     from rosemaryknot.connection.gateway_caller import Reply
 
 __all__ = ["Handler", "HeadHandler", "ListenerState"]
 
-# How often a stop looks whether connections have ended.
-CLOSE_STEP_S = 0.05
+# Interval at which a graceful shutdown checks whether connections have ended.
+CLOSE_POLL_INTERVAL_S = 0.05
 
 Handler = Callable[[GatewayRequest, "Reply"], Awaitable[None]]
 HeadHandler = Callable[[GatewayRequest, "Reply"], Awaitable[bool]]
@@ -24,32 +24,32 @@
 
 @dataclass(slots=True)
 class ListenerState:
-    """What the connections of a listener share.
+    """State shared by the connections of a listener.
 
     Attributes
     ----------
     wire : GatewayWire
-        Names of the headers.
+        Codec of requests and responses.
     handler : callable
-        Answers a request.
+        Handles a request and sends its response.
     refuse_by_head : callable
-        Refuses a request whose body is still to come, and tells whether it did.
+        Refuses a request by its head if possible; returns whether it did.
     limits : callable
-        Returns the limits in force.
+        Returns the current limits.
     is_closed : bool
-        Whether new connections are closed unread.
+        Whether new connections are closed without being read.
     open : int
-        Connections that are open.
+        Number of open connections.
     busy : int
-        Those with a request that was read in part or whole.
-    stop : PlannedStop or None
-        The planned stop that goes on.
-    idle : set of trio.CancelScope
-        Of connections that wait for a request.
-    bodies : set of trio.CancelScope
-        Of connections that wait for more of a body.
-    owed : OwedAnswers
-        What they owe their callers, to the last byte.
+        Number of connections with a request that was at least partly read.
+    stop : ShutdownSchedule or None
+        The graceful shutdown in progress.
+    idle_scopes : set of trio.CancelScope
+        Cancel scopes of connections that wait for a request.
+    body_scopes : set of trio.CancelScope
+        Cancel scopes of connections that wait for more of a body.
+    pending : PendingResponses
+        Requests whose responses are not completely sent.
     """
 
     wire: GatewayWire
@@ -59,39 +59,40 @@
     is_closed: bool = False
     open: int = 0
     busy: int = 0
-    stop: PlannedStop | None = None
-    idle: set[trio.CancelScope] = field(default_factory=set)
-    bodies: set[trio.CancelScope] = field(default_factory=set)
-    owed: OwedAnswers = field(default_factory=OwedAnswers)
+    stop: ShutdownSchedule | None = None
+    idle_scopes: set[trio.CancelScope] = field(default_factory=set)
+    body_scopes: set[trio.CancelScope] = field(default_factory=set)
+    pending: PendingResponses = field(default_factory=PendingResponses)
 
-    def begin_stop(self, stop: PlannedStop) -> None:
-        """Tell kept connections from now on to close, and go by a stop's times."""
+    def start_shutdown(self, stop: ShutdownSchedule) -> None:
+        """Announce the close of persistent connections and apply a shutdown's times."""
         self.stop = stop
-        self.owed.stop_began_s = stop.signalled_s
-        # Those that wait for a body look whether its head is still enough to go on: a
-        # slow one would be sent to its end for a request that nobody takes any more.
-        for scope in self.bodies:
+        self.pending.shutdown_started_s = stop.signalled_s
+        # Connections that wait for a body check again whether the request can be
+        # refused by its head. Otherwise a caller would send a slow body to its end
+        # although the request is no longer accepted.
+        for scope in self.body_scopes:
             scope.cancel()
 
     def close_idle(self) -> None:
         """Close the connections that wait for a request.
 
-        Their callers would send on them until the process ends, and the last ones
-        would be cut off; closed now, they go to another node.
+        Their callers would otherwise send requests until the process exits, and the
+        last of these would be aborted. After the close they connect to another node.
         """
-        for scope in self.idle:
+        for scope in self.idle_scopes:
             scope.cancel()
 
     async def close(self) -> None:
-        """Wait until no connection is open, then take no more.
+        """Wait until no connection is open, then accept no more.
 
-        A request may be read in the very moment in which none is in flight; sent on,
-        it would be cut by the end of the process. Without a connection none is read.
-        Shut before, one caller with half a head would keep all others out, unserved
-        and unrefused, for as long as the node waits for the rest.
+        Waiting until no request is in flight would not suffice: a request could be
+        read at that moment, and the exit of the process would abort it. If the listener
+        closed first, one caller with an incomplete head would leave all other callers
+        without a response for as long as the node waits for the rest of that head.
         """
         while self.open:
             if not self.busy:
                 self.close_idle()
-            await trio.sleep(CLOSE_STEP_S)
+            await trio.sleep(CLOSE_POLL_INTERVAL_S)
         self.is_closed = True
--- a/src/rosemaryknot/connection/memory_network.py
+++ b/src/rosemaryknot/connection/memory_network.py
@@ -1,7 +1,7 @@
-"""A `Network` of in-memory streams with faults, for tests and replay.
+"""A `Network` of in-memory streams with fault injection, for tests and replay.
 
-Virtual time jumps only while every task sleeps, which real sockets prevent; these
-streams let the very same processes run under `trio.testing.MockClock`.
+Virtual time advances only while every task sleeps, which real sockets prevent. With
+these streams, the same processes run under `trio.testing.MockClock`.
 """
 
 import math
@@ -17,69 +17,70 @@
 
 FIRST_PORT = 20000
 BUFFER_BYTES = 256 * 1024
-# Bytes under way in one direction of a connection between hosts with a bandwidth, and
-# the pieces in which they go out, between which other connections have their turn.
+# If the bandwidth of a host is limited: the maximum number of bytes in transit in one
+# direction of a connection, and the size of the segments in which they are sent. Other
+# connections can send between two segments.
 WINDOW_BYTES = 64 * 1024
 SEGMENT_BYTES = 16 * 1024
 
 
 class PeerSocket:
-    """What hypercorn asks of a stream's socket."""
+    """Stand-in for a socket with the methods that hypercorn calls."""
 
     family = 2
 
     def getsockname(self) -> tuple[str, int]:
-        """Return the near address."""
+        """Return the local address."""
         return ("127.0.0.1", 1)
 
     def getpeername(self) -> tuple[str, int]:
-        """Return the far address."""
+        """Return the remote address."""
         return ("127.0.0.1", 2)
 
 
 @dataclass(slots=True)
 class Pipe:
-    """Bytes on the way in one direction, with the time at which each arrives."""
+    """Bytes in transit in one direction, with the arrival time of each chunk."""
 
     chunks: deque = field(default_factory=deque)
     size: int = 0
-    ends_s: float = math.inf
+    eof_arrival_s: float = math.inf
     reset: bool = False
     changed: trio.lowlevel.ParkingLot = field(default_factory=trio.lowlevel.ParkingLot)
 
     def wake(self) -> None:
-        """Let both ends look again."""
+        """Wake the tasks of both ends that wait for a change."""
         self.changed.unpark_all()
 
     @property
     def ended(self) -> bool:
         """Whether the sender has closed its direction."""
-        return self.ends_s < math.inf
+        return self.eof_arrival_s < math.inf
 
-    def next_s(self) -> float:
-        """Return when the next bytes or the end arrive; infinite before either."""
-        return self.chunks[0][0] if self.chunks else self.ends_s
+    def next_arrival_s(self) -> float:
+        """Return when the next chunk or the end arrives; infinite if none was sent."""
+        return self.chunks[0][0] if self.chunks else self.eof_arrival_s
 
 
 @dataclass(slots=True)
 class HostLink:
-    """One direction of a host's link, which all its connections share.
+    """One direction of a host's network link, which all its connections share.
 
     Attributes
     ----------
     bytes_per_s : float
-        Its bandwidth.
-    free_s : float
-        When all that was put on it so far has passed, in trio time.
+        Bandwidth.
+    idle_at_s : float
+        When all bytes sent so far will have been transmitted, in trio time.
     """
 
     bytes_per_s: float
-    free_s: float = 0.0
+    idle_at_s: float = 0.0
 
-    def pass_on(self, at_s: float, size: int) -> float:
-        """Return when bytes that are there at a time have passed the link."""
-        self.free_s = max(at_s, self.free_s) + size / self.bytes_per_s
-        return self.free_s
+    def schedule(self, queued_s: float, size: int) -> float:
+        """Schedule a transmission and return when it is complete."""
+        self.idle_at_s = max(queued_s, self.idle_at_s) + size / self.bytes_per_s
+        return self.idle_at_s
 
 
 class MemoryStream(trio.abc.HalfCloseableStream):
@@ -96,18 +97,18 @@
         self.silent = False
 
     async def send_all(self, data: bytes) -> None:
-        """Send bytes; they are dropped while the link is silent or cut."""
+        """Send bytes; they are dropped if the stream is silent or partitioned."""
         await trio.lowlevel.checkpoint()
         if self.closed:
             raise trio.ClosedResourceError
         if not self.network.is_limited(self.near, self.far):
-            await self.send_part(data, BUFFER_BYTES)
+            await self.send_segment(data, BUFFER_BYTES)
             return
         for start in range(0, len(data), SEGMENT_BYTES):
-            await self.send_part(data[start : start + SEGMENT_BYTES], WINDOW_BYTES)
+            await self.send_segment(data[start : start + SEGMENT_BYTES], WINDOW_BYTES)
 
-    async def send_part(self, data: bytes, window: int) -> None:
-        """Send bytes once no more than a window of them are under way."""
+    async def send_segment(self, data: bytes, window: int) -> None:
+        """Send bytes once at most a window of bytes is in transit."""
         pipe = self.outgoing
         while pipe.size > window and not pipe.reset and not self.closed:
             await pipe.changed.park()
@@ -119,7 +120,7 @@
             self.put(data)
 
     def send_now(self, data: bytes) -> int:
-        """Send bytes without waiting; return how many were taken."""
+        """Send bytes without waiting; return how many were accepted."""
         pipe = self.outgoing
         if self.closed or pipe.reset or pipe.size > BUFFER_BYTES:
             return 0
@@ -127,11 +128,11 @@
         return len(data)
 
     def put(self, data: bytes) -> None:
-        """Put bytes on their way."""
-        if self.silent or self.network.is_cut(self.near, self.far):
-            # A cut TCP link keeps the sender waiting for acknowledgements and
-            # delivers nothing; bytes sent in a cut never arrive here, so the
-            # connection stays silent for good even when the cut heals.
+        """Put bytes in transit."""
+        if self.silent or self.network.is_partitioned(self.near, self.far):
+            # During a partition, a TCP sender waits for acknowledgements and nothing
+            # is delivered. In this model, bytes sent during a partition are lost, so
+            # the connection stays silent even after the partition heals.
             self.silent = True
             return
         pipe = self.outgoing
@@ -141,7 +142,7 @@
         pipe.wake()
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Return when the buffer has room."""
+        """Return immediately; `send_all` waits for free capacity."""
         await trio.lowlevel.checkpoint()
 
     async def send_eof(self) -> None:
@@ -150,15 +151,17 @@
         self.end()
 
     def end(self) -> None:
-        """Put the end of the stream on its way, which takes as long as bytes do."""
-        if self.silent or self.network.is_cut(self.near, self.far):
+        """Put the end of the stream in transit, with the same delay as bytes."""
+        if self.silent or self.network.is_partitioned(self.near, self.far):
             return
         delay = self.network.delay_s(self.near, self.far)
-        self.outgoing.ends_s = min(self.outgoing.ends_s, trio.current_time() + delay)
+        self.outgoing.eof_arrival_s = min(
+            self.outgoing.eof_arrival_s, trio.current_time() + delay
+        )
         self.outgoing.wake()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receive what has arrived."""
+        """Receive the bytes that have arrived."""
         await trio.lowlevel.checkpoint()
         pipe = self.incoming
         while True:
@@ -166,14 +169,14 @@
                 raise trio.ClosedResourceError
             if pipe.reset:
                 raise trio.BrokenResourceError("connection reset")
-            wait = pipe.next_s() - trio.current_time()
+            wait = pipe.next_arrival_s() - trio.current_time()
             if wait <= 0:
-                return self.take(max_bytes) if pipe.chunks else b""
+                return self.pop_chunk(max_bytes) if pipe.chunks else b""
             with trio.move_on_after(wait):
                 await pipe.changed.park()
 
-    def take(self, max_bytes: int | None) -> bytes:
-        """Take the first chunk, or as much of it as fits."""
+    def pop_chunk(self, max_bytes: int | None) -> bytes:
+        """Remove and return the first chunk, or as much of it as fits."""
         arrival, data = self.incoming.chunks.popleft()
         limit = math.inf if max_bytes is None else max_bytes
         if len(data) > limit:
@@ -184,14 +187,14 @@
         return data
 
     def is_readable(self) -> bool:
-        """Tell whether a read would return at once."""
+        """Return whether a read would return immediately."""
         pipe = self.incoming
         if self.closed or pipe.reset:
             return True
-        return pipe.next_s() <= trio.current_time()
+        return pipe.next_arrival_s() <= trio.current_time()
 
     def kill(self) -> None:
-        """Reset both directions, as the death of a process does."""
+        """Reset both directions, as the crash of a process does."""
         for pipe in (self.incoming, self.outgoing):
             pipe.reset = True
             pipe.wake()
@@ -209,18 +212,18 @@
 
 
 class MemoryNetwork:
-    """Hosts joined by links that can be delayed, silenced, cut and killed.
+    """Hosts whose connections can be delayed, silenced, partitioned and reset.
 
     Parameters
     ----------
     host : str
-        IP number of the host that this view belongs to.
+        IP address of the host to which this view belongs.
     shared : MemoryNetwork, optional
         Another view of the same network.
 
     Attributes
     ----------
-    cuts : set of frozenset of str
+    partitions : set of frozenset of str
         Pairs of hosts that cannot reach each other.
     delays_s : dict of frozenset of str to float
         One-way delay between two hosts, in seconds.
@@ -234,57 +237,59 @@
         self.host = host
         self.listeners = {} if shared is None else shared.listeners
         self.streams = set() if shared is None else shared.streams
-        self.cuts = set() if shared is None else shared.cuts
+        self.partitions = set() if shared is None else shared.partitions
         self.delays_s = {} if shared is None else shared.delays_s
         self.outbound = {} if shared is None else shared.outbound
         self.inbound = {} if shared is None else shared.inbound
 
     def with_host(self, host: str) -> "MemoryNetwork":
-        """Return the view of another host on the same network."""
+        """Return another host's view of the same network."""
         return MemoryNetwork(host, self)
 
-    def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether a partition lies between two hosts."""
-        return frozenset((one, other)) in self.cuts
+    def is_partitioned(self, one: str, other: str) -> bool:
+        """Return whether two hosts are partitioned."""
+        return frozenset((one, other)) in self.partitions
 
     def delay_s(self, one: str, other: str) -> float:
         """Return the one-way delay between two hosts in seconds."""
         return self.delays_s.get(frozenset((one, other)), 0.0)
 
     def limit_link(self, host: str, bytes_per_s: float) -> None:
-        """Give a host's link a bandwidth, the same in both directions."""
+        """Limit the bandwidth of a host's link in each direction."""
         self.outbound[host] = HostLink(bytes_per_s)
         self.inbound[host] = HostLink(bytes_per_s)
 
     def is_limited(self, one: str, other: str) -> bool:
-        """Tell whether a host's link bounds what two hosts exchange."""
+        """Return whether the bandwidth between two hosts is limited."""
         return one in self.outbound or other in self.outbound
 
     def arrival_s(self, near: str, far: str, size: int) -> float:
-        """Return when bytes sent now arrive, behind what the links carry already."""
-        at_s = trio.current_time()
+        """Schedule bytes after those already queued; return when they arrive."""
+        arrives_s = trio.current_time()
         if near in self.outbound:
-            at_s = self.outbound[near].pass_on(at_s, size)
-        at_s += self.delay_s(near, far)
+            arrives_s = self.outbound[near].schedule(arrives_s, size)
+        arrives_s += self.delay_s(near, far)
         if far in self.inbound:
-            at_s = self.inbound[far].pass_on(at_s, size)
-        return at_s
+            arrives_s = self.inbound[far].schedule(arrives_s, size)
+        return arrives_s
 
     def cut(self, one: str, other: str) -> None:
-        """Partition two hosts; open connections between them go silent."""
-        self.cuts.add(frozenset((one, other)))
+        """Partition two hosts; open connections between them become silent."""
+        self.partitions.add(frozenset((one, other)))
 
     def heal(self, one: str, other: str) -> None:
         """End a partition; new connections work, old ones stay silent."""
-        self.cuts.discard(frozenset((one, other)))
+        self.partitions.discard(frozenset((one, other)))
 
     def silence(self, one: str, other: str) -> int:
-        """Make the open connections between two hosts silent for good.
+        """Make the open connections between two hosts silent permanently.
+
+        New connections work.
 
         Returns
         -------
         count : int
-            Number of stream ends silenced. New connections work.
+            Number of stream ends that were silenced.
         """
         ends = [s for s in self.streams if {s.near, s.far} == {one, other}]
         for stream in ends:
@@ -304,13 +309,13 @@
 
     async def dial(self, address: Address) -> MemoryStream:
         """Connect to a listener; see `Network.dial`."""
-        if self.is_cut(self.host, address.host):
+        if self.is_partitioned(self.host, address.host):
             await trio.sleep(2.0)
-            raise TimeoutError(f"no answer from {address}")
+            raise TimeoutError(f"connecting to {address} timed out")
         await trio.sleep(2 * self.delay_s(self.host, address.host))
         accept = self.listeners.get(address)
         if accept is None:
-            raise ConnectionRefusedError(f"nobody listens at {address}")
+            raise ConnectionRefusedError(f"no listener at {address}")
         near = MemoryStream(self, self.host, address.host)
         far = MemoryStream(self, address.host, self.host)
         near.outgoing, far.outgoing = far.incoming, near.incoming
@@ -334,11 +339,11 @@
             try:
                 await handler(stream)
             finally:
-                # Closed, not reset: what is still on its way arrives.
+                # The stream is closed and not reset, so bytes in transit still arrive.
                 await trio.aclose_forcefully(stream)
 
-        # The accepting task itself starts the handlers, so that they run in the
-        # context of the listening host and not in that of the host that dials.
+        # The listening task starts the handlers, so that they run in the context of the
+        # listening host and not in that of the dialling host.
         backlog_in, backlog_out = trio.open_memory_channel(math.inf)
         accept = backlog_in.send_nowait
         self.listeners[address] = accept
--- a/src/rosemaryknot/connection/network.py
+++ b/src/rosemaryknot/connection/network.py
@@ -1,7 +1,8 @@
-"""The one seam to the network: dial an address, or listen on one.
+"""Interface to the network: dial an address, or listen on one.
 
-`SocketNetwork` fills it with TCP. Tests fill it with in-memory streams that can
-be delayed, silenced, cut and killed in virtual time.
+All network access goes through `Network`. `SocketNetwork` implements it with TCP. Tests
+use in-memory streams that can be delayed, silenced, partitioned and reset in virtual
+time.
 """
 
 import os
@@ -18,14 +19,14 @@
     "Network",
     "SocketNetwork",
     "StreamHandler",
-    "drop_undelivered",
+    "reset_on_close",
     "receive_next",
     "send_now",
 ]
 
 CONNECT_TIMEOUT_S = 2.0
-# Of the socket's option: to linger, for no time.
-CLOSE_BY_RESET = struct.pack("ii", 1, 0)
+# Value of SO_LINGER: linger enabled with a timeout of zero, so that closing resets.
+LINGER_ZERO = struct.pack("ii", 1, 0)
 
 log = logger("network")
 
@@ -33,7 +34,7 @@
 
 
 class Network(Protocol):
-    """What the rest of the program may ask of the network."""
+    """Network interface that the rest of the program uses."""
 
     async def dial(self, address: Address) -> trio.abc.HalfCloseableStream:
         """Connect to an address.
@@ -41,7 +42,7 @@
         Parameters
         ----------
         address : Address
-            Where to connect.
+            Address to connect to.
 
         Returns
         -------
@@ -51,7 +52,7 @@
         Raises
         ------
         OSError
-            If nobody answers there in time.
+            If the connection is refused or times out.
         """
 
     async def listen(
@@ -60,32 +61,32 @@
         handler: StreamHandler,
         task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept connections until cancelled, one task for each.
+        """Accept connections until cancelled, with one task for each connection.
 
         Parameters
         ----------
         address : Address
-            Where to listen; port 0 takes a free one.
+            Address to listen on; port 0 selects a free port.
         handler : callable
-            Called with each new stream, which is closed when it returns.
+            Called with each new stream, which is closed when the handler returns.
         task_status : trio.TaskStatus
-            Told the bound address once connections are accepted.
+            Receives the bound address once connections are accepted.
 
         Raises
         ------
         OSError
-            If the address is taken.
+            If the address is in use.
         """
 
 
 class SocketNetwork:
-    """TCP by IP number."""
+    """Network of TCP connections to numeric IP addresses."""
 
     async def dial(self, address: Address) -> trio.abc.HalfCloseableStream:
         """Connect by TCP; see `Network.dial`."""
         with trio.move_on_after(CONNECT_TIMEOUT_S):
             return await trio.open_tcp_stream(address.host, address.port)
-        raise TimeoutError(f"no answer from {address}")
+        raise TimeoutError(f"connecting to {address} timed out")
 
     async def listen(
         self,
@@ -108,19 +109,20 @@
 
 
 def send_now(stream: trio.abc.HalfCloseableStream, data: bytes) -> int:
-    """Write what a stream takes without waiting.
+    """Write as many bytes to a stream as possible without waiting.
 
     Parameters
     ----------
     stream : trio.abc.HalfCloseableStream
-        A stream of a `Network` that nobody else writes to at the moment.
+        Stream of a `Network` without a concurrent writer.
     data : bytes
-        What to write.
+        Bytes to write.
 
     Returns
     -------
     count : int
-        Bytes written; 0 where it is full or broken, which its next `send_all` tells.
+        Bytes written; 0 if the buffer is full or the connection is broken, which the
+        next `send_all` reports.
     """
     if not isinstance(stream, trio.SocketStream):
         return stream.send_now(data)
@@ -130,48 +132,50 @@
         return 0
 
 
-def drop_undelivered(stream: trio.abc.HalfCloseableStream) -> None:
-    """Let the close of a stream reset the connection and drop what was not delivered.
+def reset_on_close(stream: trio.abc.HalfCloseableStream) -> None:
+    """Make closing a stream reset the connection and discard undelivered bytes.
 
     Parameters
     ----------
     stream : trio.abc.HalfCloseableStream
-        A stream of a `Network`; those in memory deliver nothing late.
+        Stream of a `Network`. In-memory streams need no change, since they deliver
+        nothing late.
     """
     if not isinstance(stream, trio.SocketStream):
         return
     try:
         options = trio.socket
-        stream.setsockopt(options.SOL_SOCKET, options.SO_LINGER, CLOSE_BY_RESET)
+        stream.setsockopt(options.SOL_SOCKET, options.SO_LINGER, LINGER_ZERO)
     except OSError as error:
-        # Closed already, by either end.
-        log.debug("no reset", error=type(error).__name__)
+        # The connection was already closed by one of its ends.
+        log.debug("setting SO_LINGER failed", error=type(error).__name__)
 
 
 async def receive_next(stream: trio.abc.HalfCloseableStream, max_bytes: int) -> bytes:
-    """Receive from a stream that has most likely nothing yet.
+    """Receive from a stream on which most likely no data has arrived yet.
 
-    Trio's streams try to read before they wait. Between two tokens that always fails,
-    and costs a system call, an exception and the managers around it.
+    Trio's streams try to read before they wait. Between two tokens that attempt always
+    fails, and costs a system call, an exception and several context managers. This
+    function waits first.
 
     Parameters
     ----------
     stream : trio.abc.HalfCloseableStream
-        A stream of a `Network` that nobody else reads from.
+        Stream of a `Network` without a concurrent reader.
     max_bytes : int
-        Most that is returned.
+        Maximum number of bytes to return.
 
     Returns
     -------
     data : bytes
-        What has arrived; empty at the end of the stream.
+        Bytes that have arrived; empty at the end of the stream.
 
     Raises
     ------
     trio.BrokenResourceError
-        If the connection broke.
+        If the connection failed.
     trio.ClosedResourceError
-        If it was closed on this side.
+        If the stream was closed on this side.
     """
     if not isinstance(stream, trio.SocketStream):
         return await stream.receive_some(max_bytes)
--- a/src/rosemaryknot/connection/order_client.py
+++ b/src/rosemaryknot/connection/order_client.py
@@ -1,4 +1,7 @@
-"""Orders of the placement holder to backend servers, and their read-back."""
+"""Client that sends orders of the placement duty to backend servers.
+
+It also reads back the orders that a server has applied.
+"""
 
 from typing import Any
 
@@ -19,20 +22,20 @@
 __all__ = ["HttpOrderClient"]
 
 ORDER_TIMEOUT_S = 30.0
-ASK_TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 2.0
 HEADERS = {"connection": "close"}
 
 
 class HttpOrderClient:
-    """Calls to backend servers, each on a connection of its own.
+    """Client for the orders API of backend servers, with a new connection per call.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     timeout_s : float
-        Bound on an order; loading a model takes its time. In seconds.
+        Timeout of an order, in seconds; long, since an order may load a model.
     """
 
     def __init__(self, network: Network, timeout_s: float = ORDER_TIMEOUT_S) -> None:
@@ -47,21 +50,21 @@
     async def order(
         self, server: BackendServer, order: ServerOrder, fencing: int
     ) -> OrderDone | OrderRefused | OrderFailed:
-        """Give one order with its fencing number.
+        """Send one order with its fencing token.
 
         Parameters
         ----------
         server : BackendServer
-            Who carries it out.
+            Server that executes the order.
         order : ServerOrder
-            What to do.
+            The order.
         fencing : int
-            Number of the holder's lease.
+            Fencing token of the holder's lease.
 
         Returns
         -------
         outcome : OrderDone, OrderRefused or OrderFailed
-            After a failure only a read-back tells what is in force.
+            After `OrderFailed`, only `read_orders` shows which orders are applied.
         """
         body = {**order.arguments, "fencing": fencing, "order": order.order}
         url = f"http://{server.address}/orders"
@@ -72,12 +75,12 @@
                 return OrderRefused("unreachable")
             except httpx.HTTPError as error:
                 return OrderFailed(type(error).__name__)
-            return outcome_of(response)
+            return decode_outcome(response)
         return OrderFailed("timeout")
 
     async def read_orders(self, server: BackendServer) -> OrdersRead | None:
-        """Return what is in force at a server; None without an answer."""
-        fields = await self.ask(server, "/orders")
+        """Return the orders that a server has applied; None if it does not respond."""
+        fields = await self.request_json(server, "/orders")
         try:
             models = tuple(sorted(str(model) for model in fields["models"]))
             return OrdersRead(int(fields["fencing"]), models)
@@ -85,39 +88,41 @@
             return None
 
     async def requests(self, server: BackendServer) -> int | None:
-        """Return how many requests a model engine has; None without an answer."""
-        fields = await self.ask(server, "/load")
+        """Return the number of requests at an engine; None if it does not respond."""
+        fields = await self.request_json(server, "/load")
         try:
             return int(fields["running"]) + int(fields["waiting"])
         except (TypeError, LookupError, ValueError):
             return None
 
-    async def ask(self, server: BackendServer, path: str) -> dict[str, Any] | None:
-        """Make one short read."""
-        with trio.move_on_after(ASK_TIMEOUT_S):
+    async def request_json(
+        self, server: BackendServer, path: str
+    ) -> dict[str, Any] | None:
+        """Make a short read and decode its JSON response; None if it fails."""
+        with trio.move_on_after(REQUEST_TIMEOUT_S):
             try:
                 url = f"http://{server.address}{path}"
                 response = await self.client.get(url, headers=HEADERS)
-                answer = response.json() if response.is_success else None
+                fields = response.json() if response.is_success else None
             except (httpx.HTTPError, ValueError):
                 return None
-            return answer if isinstance(answer, dict) else None
+            return fields if isinstance(fields, dict) else None
         return None
 
 
-def outcome_of(response: httpx.Response) -> OrderDone | OrderRefused | OrderFailed:
-    """Return the outcome that an answer tells."""
+def decode_outcome(response: httpx.Response) -> OrderDone | OrderRefused | OrderFailed:
+    """Return the outcome of an order from its response."""
     if response.is_success:
         return OrderDone()
     if response.status_code == httpx.codes.CONFLICT:
-        return OrderRefused("old fencing number", seen_fencing(response))
+        return OrderRefused("old fencing number", decode_fencing(response))
     if response.is_server_error:
         return OrderFailed(f"status {response.status_code}")
     return OrderRefused(f"status {response.status_code}")
 
 
-def seen_fencing(response: httpx.Response) -> int:
-    """Return the highest number that the server says it has seen; 0 if it does not."""
+def decode_fencing(response: httpx.Response) -> int:
+    """Return the highest fencing token that the server reports; 0 without one."""
     try:
         return int(response.json()["fencing"])
     except (TypeError, LookupError, ValueError):
--- a/src/rosemaryknot/connection/pages.py
+++ b/src/rosemaryknot/connection/pages.py
@@ -1,7 +1,7 @@
-"""Small pages for the balancer and the metrics collector, by h11.
+"""Small HTTP server, on h11, for the load balancer and the metrics collector.
 
-Quart and hypercorn take 0.35 s to import, half of a node's start; where all nodes start
-anew, callers meet closed ports for so much longer.
+Importing quart and hypercorn takes 0.35 s, half of a node's startup time. If all nodes
+restart together, callers would find the ports closed for that much longer.
 """
 
 from collections.abc import Callable
@@ -16,23 +16,23 @@
 __all__ = ["Page", "PageServer"]
 
 READ_BYTES = 8192
-# Longer than between two questions of a balancer or a collector.
-IDLE_S = 30.0
+# Longer than the polling interval of a load balancer or a metrics collector.
+IDLE_TIMEOUT_S = 30.0
 NOT_FOUND = 404
 
 
 @dataclass(slots=True)
 class Page:
-    """One answer.
+    """Response with one page.
 
     Attributes
     ----------
     status : int
         HTTP status.
     body : bytes
-        The text.
+        Body of the response.
     content_type : str
-        Its media type.
+        Media type of the body.
     """
 
     status: int
@@ -41,14 +41,14 @@
 
 
 class PageServer:
-    """Serves pages by path.
+    """Server of pages by path.
 
     Parameters
     ----------
     network : Network
-        Where to listen.
+        Network to listen on.
     pages : dict of str to callable
-        Makes the page of a path.
+        Functions that return the page of each path.
     """
 
     def __init__(self, network: Network, pages: dict[str, Callable[[], Page]]) -> None:
@@ -79,7 +79,7 @@
     async def serve_one(
         self, stream: trio.abc.HalfCloseableStream, conn: h11.Connection
     ) -> bool:
-        """Answer one request; return whether another may follow."""
+        """Serve one request; return whether the connection remains usable."""
         target = None
         while True:
             event = conn.next_event()
@@ -89,20 +89,22 @@
                 break
             elif event is h11.NEED_DATA:
                 data = b""
-                with trio.move_on_after(IDLE_S):
+                with trio.move_on_after(IDLE_TIMEOUT_S):
                     data = await stream.receive_some(READ_BYTES)
                 if not data:
                     return False
                 conn.receive_data(data)
             elif not isinstance(event, h11.Data):
                 return False
-        make = self.pages.get(target)
-        await stream.send_all(answer_of(conn, Page(NOT_FOUND) if not make else make()))
+        render = self.pages.get(target)
+        await stream.send_all(
+            encode_response(conn, Page(NOT_FOUND) if not render else render())
+        )
         return conn.our_state is h11.DONE and conn.their_state is h11.DONE
 
 
-def answer_of(conn: h11.Connection, page: Page) -> bytes:
-    """Return the bytes of a page."""
+def encode_response(conn: h11.Connection, page: Page) -> bytes:
+    """Return the encoded response with a page."""
     headers = [
         ("content-type", page.content_type),
         ("content-length", str(len(page.body))),
--- a/src/rosemaryknot/connection/plain_client.py
+++ b/src/rosemaryknot/connection/plain_client.py
@@ -1,4 +1,4 @@
-"""Calls to plain services that tell what was not sent from what may have run."""
+"""Client for plain services that detects whether a failed request may have run."""
 
 from typing import Any
 
@@ -11,15 +11,15 @@
 from rosemaryknot.values.outcomes import Answered, Reason, Unknown
 from rosemaryknot.values.requests import NotSent, PlainRequest, SendResult
 
-__all__ = ["PlainClient", "is_leaving", "passed_headers"]
+__all__ = ["PlainClient", "is_draining", "end_to_end_headers"]
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 REQUEST_HEADER = "rosemaryknot-request"
-LEAVING_HEADER = "rosemaryknot-leaving"
+DRAINING_HEADER = "rosemaryknot-leaving"
 UNAVAILABLE = 503
 
-# The first trace event of httpcore at which a byte of the request may leave.
+# The first trace event of httpcore after which a byte of the request may be sent.
 FIRST_WRITE = "http11.send_request_headers.started"
 
 HOP_BY_HOP = frozenset(
@@ -40,8 +40,8 @@
 )
 
 
-def passed_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers that belong to a message, not to its connection.
+def end_to_end_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Return the end-to-end headers of a message.
 
     Parameters
     ----------
@@ -50,12 +50,13 @@
 
     Returns
     -------
-    passed : list of tuple of (str, str)
-        Without hop-by-hop ones, those named by ``Connection`` and our own id.
+    end_to_end : list of tuple of (str, str)
+        Headers without hop-by-hop ones, those that ``Connection`` names and
+        ``Rosemaryknot-Request``.
 
     Examples
     --------
-    >>> passed_headers([("Connection", "x-once"), ("X-Once", "1"), ("X-A", "2")])
+    >>> end_to_end_headers([("Connection", "x-once"), ("X-Once", "1"), ("X-A", "2")])
     [('X-A', '2')]
     """
     dropped = {REQUEST_HEADER} | HOP_BY_HOP
@@ -65,99 +66,105 @@
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
-def answer_headers(
+def forwarded_response_headers(
     method: str, headers: list[tuple[str, str]]
 ) -> list[tuple[str, str]]:
-    """Return the headers of an answer that are passed on.
+    """Return the headers of a server's response that are forwarded to the caller.
 
-    The date is ours to give; a ``HEAD`` answer has no other length than the one that
-    the server told.
+    ``Date`` is omitted, since this process sets its own. The response to a ``HEAD``
+    request has no body, so its ``Content-Length`` is forwarded.
     """
-    passed = [pair for pair in passed_headers(headers) if pair[0].lower() != "date"]
+    forwarded = [
+        pair for pair in end_to_end_headers(headers) if pair[0].lower() != "date"
+    ]
     if method == "HEAD":
-        passed += [pair for pair in headers if pair[0].lower() == "content-length"]
-    return passed
+        forwarded += [pair for pair in headers if pair[0].lower() == "content-length"]
+    return forwarded
 
 
-def is_leaving(answer: Answered) -> bool:
-    """Tell whether a server refused because it is leaving."""
-    return answer.status == UNAVAILABLE and any(
-        name.lower() == LEAVING_HEADER and value == "1"
-        for name, value in answer.headers
+def is_draining(response: Answered) -> bool:
+    """Return whether a server refused a request because it is draining."""
+    return response.status == UNAVAILABLE and any(
+        name.lower() == DRAINING_HEADER and value == "1"
+        for name, value in response.headers
     )
 
 
 class SendTrace:
-    """Learns from httpcore whether a byte of one request may have left.
+    """httpcore trace callback that detects whether a request may have been sent.
 
-    The kind of error does not tell: a timeout or a cancelled wait may fall before
-    or after the first write. Taking "not sent" from anything but this could let a
-    request that may not be repeated run twice.
+    The type of an error is not sufficient: a timeout or a cancellation may occur before
+    or after the first write. Deriving "not sent" from anything but this trace could let
+    a request that must not be repeated run twice.
 
     Attributes
     ----------
     has_started : bool
-        Whether writing began.
+        Whether writing of the request has started.
     """
 
     def __init__(self) -> None:
         self.has_started = False
 
     async def __call__(self, event: str, info: dict[str, Any]) -> None:
-        """Note one event."""
+        """Record one trace event."""
         if event == FIRST_WRITE:
             self.has_started = True
 
 
 class AnswerTooLarge(Exception):
-    """The answer is larger than what is passed on."""
+    """The response is larger than `MAX_RESPONSE_BYTES`."""
 
 
 class PlainClient:
-    """Sends requests to plain services.
+    """Client that forwards requests to plain services.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     """
 
     def __init__(self, network: Network) -> None:
         self.transport = NetworkTransport(network)
 
     async def send(
-        self, server: BackendServer, request: PlainRequest, reuse: bool, until_s: float
+        self,
+        server: BackendServer,
+        request: PlainRequest,
+        reuse: bool,
+        deadline_s: float,
     ) -> SendResult:
-        """Send a request to a server and read the whole answer.
+        """Send a request to a server and read the complete response.
 
         Parameters
         ----------
         server : BackendServer
-            Where.
+            Server that receives the request.
         request : PlainRequest
-            What.
+            The request.
         reuse : bool
-            Whether an open connection may be used again. The server may just be
-            closing an idle one, which then looks as if the request had been lost on
-            the way; so what may not be repeated gets a new connection.
-        until_s : float
-            When the call is given up, in trio time.
+            Whether a pooled connection may be used. The server may be closing an idle
+            connection at this moment, and the request would then seem lost in transit;
+            so a request that must not be repeated needs a new connection.
+        deadline_s : float
+            Deadline of the call, in trio time.
 
         Returns
         -------
         result : SendResult
-            The answer, or whether the request may have run.
+            The response, or whether the request may have run.
         """
         trace = SendTrace()
-        with trio.move_on_at(until_s):
+        with trio.move_on_at(deadline_s):
             try:
                 return await self.exchange(server, request, reuse, trace)
             except AnswerTooLarge:
-                detail = f"the answer is larger than {MAX_ANSWER_BYTES} bytes"
+                detail = f"the answer is larger than {MAX_RESPONSE_BYTES} bytes"
                 return Unknown(Reason.ANSWER_LOST, detail)
             except httpx.TransportError as error:
-                return result_of_failure(trace, Reason.ANSWER_LOST, error)
-        return result_of_failure(trace, Reason.TIMED_OUT, None)
+                return classify_failure(trace, Reason.ANSWER_LOST, error)
+        return classify_failure(trace, Reason.TIMED_OUT, None)
 
     async def exchange(
         self,
@@ -166,20 +173,22 @@
         reuse: bool,
         trace: SendTrace,
     ) -> Answered:
-        """Write the request and read the answer."""
+        """Write the request and read the response."""
         response = await self.transport.handle_async_request(
-            built_request(server, request, reuse, trace)
+            build_request(server, request, reuse, trace)
         )
         body = bytearray()
         try:
             async for chunk in response.aiter_raw():
                 body += chunk
-                if len(body) > MAX_ANSWER_BYTES:
+                if len(body) > MAX_RESPONSE_BYTES:
                     raise AnswerTooLarge
         finally:
             with trio.CancelScope(shield=True):
                 await response.aclose()
-        headers = answer_headers(request.method, response.headers.multi_items())
+        headers = forwarded_response_headers(
+            request.method, response.headers.multi_items()
+        )
         return Answered(response.status_code, headers, bytes(body))
 
     async def aclose(self) -> None:
@@ -187,11 +196,11 @@
         await self.transport.aclose()
 
 
-def built_request(
+def build_request(
     server: BackendServer, request: PlainRequest, reuse: bool, trace: SendTrace
 ) -> httpx.Request:
-    """Return the request as httpx sends it."""
-    headers = passed_headers(request.headers)
+    """Return the httpx request for a request to a server."""
+    headers = end_to_end_headers(request.headers)
     headers.append((REQUEST_HEADER, request.request_id))
     if not reuse:
         headers.append(("connection", "close"))
@@ -208,10 +217,10 @@
     )
 
 
-def result_of_failure(
+def classify_failure(
     trace: SendTrace, reason: Reason, error: Exception | None
 ) -> NotSent | Unknown:
-    """Return what a failed call says of the request."""
+    """Return whether the request of a failed call was not sent or may have run."""
     if not trace.has_started:
         return NotSent(Reason.SERVER_FAILED if error is not None else Reason.TIMED_OUT)
     name = "the deadline passed" if error is None else type(error).__name__
--- a/src/rosemaryknot/connection/platform.py
+++ b/src/rosemaryknot/connection/platform.py
@@ -1,4 +1,4 @@
-"""Client of the platform: object API, instance list and cloud API."""
+"""Client for the platform: object API, instance list and cloud API."""
 
 import json
 from collections.abc import Callable
@@ -10,8 +10,8 @@
 
 from rosemaryknot.connection.network import Network
 from rosemaryknot.connection.platform_calls import (
-    BAD_ANSWER,
-    IDLE_BOUND_S,
+    BAD_RESPONSE,
+    IDLE_TIMEOUT_S,
     TIMEOUT_S,
     PlatformCalls,
     Watch,
@@ -46,81 +46,84 @@
     return f"{kind_path(kind)}/{quote(name, safe='')}"
 
 
-def stored_object(data: dict) -> StoredObject:
-    """Return the object of a read."""
+def decode_object(data: dict) -> StoredObject:
+    """Decode the response to a read of an object."""
     return StoredObject(data["version"], data["value"])
 
 
-def listed(data: dict) -> Listed:
-    """Return the objects of a list."""
-    objects = {entry["name"]: stored_object(entry) for entry in data["objects"]}
+def decode_list(data: dict) -> Listed:
+    """Decode the response to a list of objects."""
+    objects = {entry["name"]: decode_object(entry) for entry in data["objects"]}
     return Listed(data["version"], objects)
 
 
-def object_changed(line: dict) -> ObjectChanged:
-    """Return the change of a line."""
+def decode_change(line: dict) -> ObjectChanged:
+    """Decode a line of a watch of objects."""
     deleted = bool(line.get("deleted", False))
     return ObjectChanged(line["name"], line["version"], line["value"], deleted)
 
 
-def notice(line: dict) -> Notice:
-    """Return the notice of a line."""
+def decode_notice(line: dict) -> Notice:
+    """Decode a line of the watch of reclaim notices."""
     return Notice(line["instance"], line["deadline_unix_s"])
 
 
-def parsed(
+def decode_response(
     response: httpx.Response, parse: Callable[[Any], Item], maybe_done: bool = False
 ) -> Item | PlatformFailed:
-    """Return what an answer says, or a failure where it makes no sense."""
+    """Decode the body of a response, or return a failure if it is malformed."""
     try:
         return parse(response.json())
     except (ValueError, KeyError, TypeError):
-        return PlatformFailed(BAD_ANSWER, maybe_done)
+        return PlatformFailed(BAD_RESPONSE, maybe_done)
 
 
-def answered(
+def decode_outcome(
     response: httpx.Response | PlatformFailed, by_status: dict[int, Callable]
 ) -> Any:
-    """Return the outcome that the answer's status stands for.
+    """Decode the outcome of a call by the status of its response.
 
     Parameters
     ----------
     response : httpx.Response or PlatformFailed
-        A failure is returned as it is.
+        Response, or a failure, which is returned unchanged.
     by_status : dict of int to callable
-        Makes an outcome of the JSON value, for each status that has a meaning.
+        Functions that decode the JSON body, for each expected status.
 
     Returns
     -------
     outcome : object
-        A `PlatformFailed` where the status has none; the platform did nothing.
+        The decoded outcome. A `PlatformFailed` if the status is unexpected; the
+        platform did nothing in that case.
     """
     if isinstance(response, PlatformFailed):
         return response
     parse = by_status.get(response.status_code)
     if parse is None:
         return PlatformFailed(f"status {response.status_code}")
-    return parsed(response, parse, maybe_done=response.is_success)
+    return decode_response(response, parse, maybe_done=response.is_success)
 
 
-def missing(data: Any) -> Missing:
-    """Return the outcome of a 404."""
+def decode_missing(data: Any) -> Missing:
+    """Return the outcome of a response with status 404."""
     return Missing()
 
 
 class PlatformClient:
-    """The platform at an address; every outcome is a value.
+    """Client for the platform at an address.
+
+    Failures are returned as values and not raised.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     address : Address
-        Of the platform.
+        Address of the platform.
     timeout_s : float
-        Bound on each call but the watches, in seconds.
-    idle_bound_s : float
-        Longest silence of a watch, in seconds.
+        Timeout of each call except watches, in seconds.
+    idle_timeout_s : float
+        Maximum silence of a watch, in seconds.
 
     Attributes
     ----------
@@ -133,9 +136,9 @@
         network: Network,
         address: Address,
         timeout_s: float = TIMEOUT_S,
-        idle_bound_s: float = IDLE_BOUND_S,
+        idle_timeout_s: float = IDLE_TIMEOUT_S,
     ) -> None:
-        self.calls = PlatformCalls(network, address, timeout_s, idle_bound_s)
+        self.calls = PlatformCalls(network, address, timeout_s, idle_timeout_s)
 
     async def __aenter__(self) -> "PlatformClient":
         return self
@@ -144,7 +147,7 @@
         await self.aclose()
 
     async def aclose(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         await self.calls.aclose()
 
     async def read(
@@ -152,28 +155,29 @@
     ) -> StoredObject | Missing | PlatformFailed:
         """Read one object."""
         response = await self.calls.get(object_path(kind, name))
-        return answered(response, {200: stored_object, 404: missing})
+        return decode_outcome(response, {200: decode_object, 404: decode_missing})
 
     async def list_objects(self, kind: str) -> Listed | PlatformFailed:
         """Read all objects of a kind in one call."""
-        return answered(await self.calls.get(kind_path(kind)), {200: listed})
+        return decode_outcome(await self.calls.get(kind_path(kind)), {200: decode_list})
 
     async def create(
         self, kind: str, name: str, value: Any
     ) -> Written | Conflict | PlatformFailed:
-        """Write an object that must not exist yet.
+        """Create an object that must not exist yet.
 
         Parameters
         ----------
         kind, name : str
-            Of the object.
+            Kind and name of the object.
         value : object
             Any JSON value.
 
         Returns
         -------
         outcome : Written, Conflict or PlatformFailed
-            After a failure that may have been done, only a read tells.
+            After a `PlatformFailed` with ``maybe_done``, only a read shows whether the
+            write took effect.
         """
         content = json.dumps(value).encode()
         return await self.write("PUT", kind, name, {"If-None-Match": "*"}, content)
@@ -181,7 +185,7 @@
     async def update(
         self, kind: str, name: str, value: Any, version: int
     ) -> Written | Conflict | PlatformFailed:
-        """Write an object that must still have the version; see `create`."""
+        """Update an object that must still have the version; see `create`."""
         content = json.dumps(value).encode()
         return await self.write("PUT", kind, name, {"If-Match": str(version)}, content)
 
@@ -202,7 +206,7 @@
         """Make one conditional write."""
         path = object_path(kind, name)
         response = await self.calls.call(method, path, content, condition)
-        return answered(
+        return decode_outcome(
             response,
             {
                 200: lambda data: Written(data["version"]),
@@ -213,44 +217,44 @@
     def watch(
         self, kind: str, since: int | None = None
     ) -> AbstractAsyncContextManager[Watch]:
-        """Follow the changes of a kind.
+        """Watch the objects of a kind for changes.
 
         Parameters
         ----------
         kind : str
             Kind of object.
         since : int, optional
-            Version of the kind after which changes are wanted; without it, the
-            watch starts with a list.
+            Version of the kind after which changes are returned; without it, the watch
+            starts with a list of all objects.
 
         Returns
         -------
         manager : async context manager of Watch
-            The watch is an async iterator of `ObjectChanged`. Where no connection
-            comes about, it is empty and says why in ``ended``.
+            The watch is an async iterator of `ObjectChanged`. If no connection can be
+            opened, it is empty and its ``ended`` is the reason.
         """
         path = f"{kind_path(kind)}?watch=1"
         if since is not None:
             path += f"&since={since}"
-        return self.calls.follow(path, object_changed)
+        return self.calls.open_watch(path, decode_change)
 
     def watch_notices(self) -> AbstractAsyncContextManager[Watch]:
-        """Follow reclaim notices; starts with those that are open."""
-        return self.calls.follow("/cloud/notices", notice)
+        """Watch reclaim notices, starting with those that are open."""
+        return self.calls.open_watch("/cloud/notices", decode_notice)
 
     async def instances(self) -> list[BackendServer] | PlatformFailed:
-        """Return the instance list, which lags."""
+        """Return the instance list, which lags behind the actual state."""
         response = await self.calls.get("/instances")
 
         def parse(data: dict) -> list[BackendServer]:
             return [server_from_dict(entry) for entry in data["instances"]]
 
-        return answered(response, {200: parse})
+        return decode_outcome(response, {200: parse})
 
     async def instance(self, name: str) -> BackendServer | Missing | PlatformFailed:
         """Return the authoritative state of one instance."""
         response = await self.calls.get(f"/instances/{quote(name, safe='')}")
-        return answered(response, {200: server_from_dict, 404: missing})
+        return decode_outcome(response, {200: server_from_dict, 404: decode_missing})
 
     async def prices(self) -> list[Price] | PlatformFailed:
         """Return the current prices."""
@@ -259,15 +263,15 @@
         def parse(data: dict) -> list[Price]:
             return [Price(**entry) for entry in data["prices"]]
 
-        return answered(response, {200: parse})
+        return decode_outcome(response, {200: parse})
 
     async def start_instance(
         self, service: str, zone: str, machine_class: str, reclaimable: bool
     ) -> BackendServer | StartRefused | PlatformFailed:
-        """Ask the cloud for an instance.
+        """Start an instance in the cloud.
 
-        After a failure that may have been done, the instance may exist and cost
-        money: it shows up in the instance list.
+        After a `PlatformFailed` with ``maybe_done``, the instance may exist and cost
+        money; it then appears in the instance list.
         """
         body = {
             "service": service,
@@ -277,7 +281,7 @@
         }
         content = json.dumps(body).encode()
         response = await self.calls.call("POST", "/cloud/instances", content)
-        return answered(
+        return decode_outcome(
             response,
             {
                 201: server_from_dict,
@@ -288,7 +292,7 @@
     async def release_instance(
         self, name: str
     ) -> BackendServer | Missing | PlatformFailed:
-        """Give an instance back to the cloud."""
+        """Release an instance to the cloud."""
         path = f"/cloud/instances/{quote(name, safe='')}"
         response = await self.calls.call("DELETE", path)
-        return answered(response, {200: server_from_dict, 404: missing})
+        return decode_outcome(response, {200: server_from_dict, 404: decode_missing})
