--- a/src/rosemaryknot/connection/platform_calls.py
+++ b/src/rosemaryknot/connection/platform_calls.py
@@ -1,4 +1,4 @@
-"""Calls and open answers of the platform, without their meaning."""
+"""HTTP calls and watches of the platform, without decoding of their content."""
 
 import json
 from collections.abc import AsyncIterator, Callable
@@ -13,51 +13,51 @@
 from rosemaryknot.values.nodes import Address
 from rosemaryknot.values.platform import TIMEOUT, PlatformFailed
 
-__all__ = ["BAD_ANSWER", "PlatformCalls", "Watch"]
+__all__ = ["BAD_RESPONSE", "PlatformCalls", "Watch"]
 
 TIMEOUT_S = 2.0
-IDLE_BOUND_S = 3.0
-# Longest time of a read whose answer goes on coming, as a multiple of its timeout.
-LONGEST_READ = 4.0
-BAD_ANSWER = "bad_answer"
+IDLE_TIMEOUT_S = 3.0
+# Maximum duration of a read whose response keeps arriving, in multiples of its timeout.
+MAX_READ_TIMEOUTS = 4.0
+BAD_RESPONSE = "bad_answer"
 BROKEN = "broken"
 UNREACHABLE = "unreachable"
-SURELY_UNSENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
 class Pool:
-    """Kept connections that are retired together.
+    """Pooled connections that are retired together.
 
     Attributes
     ----------
-    users : int
-        Calls under way.
+    active_calls : int
+        Number of calls in progress.
     is_retired : bool
-        Whether the last user closes it.
+        Whether the pool is closed when its last call ends.
     """
 
     def __init__(self, client: httpx.AsyncClient) -> None:
         self.client = client
-        self.users = 0
+        self.active_calls = 0
         self.is_retired = False
 
 
 class Watch:
-    """Lines of one open answer; see `rosemaryknot.values.platform.ObjectWatch`.
+    """Items of a streamed response; see `rosemaryknot.values.platform.ObjectWatch`.
 
     Parameters
     ----------
     parse : callable
-        Makes an item of the JSON value of a line.
+        Decodes the JSON value of a line to an item.
     lines : async iterator of str, optional
-        Lines of the answer; None where no answer came.
+        Lines of the response; None if there is no response.
     ended : str
-        Why there is no answer.
+        Why there is no response.
 
     Attributes
     ----------
     ended : str
-        Why it ended; empty while it lasts.
+        Why the watch ended; empty while it is open.
     """
 
     def __init__(
@@ -76,10 +76,10 @@
     async def __anext__(self) -> Any:
         """Return the next item.
 
-        A connection that something on the way has lost track of says nothing for
-        good and gives no error: the watcher would trust an old state for ever. The
-        platform sends blank lines in quiet times, so a read that waits longer than
-        the idle bound ends the watch.
+        If a middlebox drops the state of a connection, it delivers nothing more and no
+        error is reported, so the watcher would rely on stale state indefinitely. The
+        platform sends blank lines while nothing changes, so a read that waits longer
+        than the idle timeout ends the watch.
         """
         if self.lines is None:
             await trio.lowlevel.checkpoint()
@@ -94,24 +94,24 @@
         except httpx.TransportError:
             self.ended = BROKEN
         except (ValueError, KeyError, TypeError):
-            self.ended = BAD_ANSWER
+            self.ended = BAD_RESPONSE
         self.lines = None
         raise StopAsyncIteration
 
 
-def failure_of(error: httpx.TransportError) -> PlatformFailed:
-    """Return the failure that an error of the connection means."""
-    if isinstance(error, SURELY_UNSENT):
+def map_error(error: httpx.TransportError) -> PlatformFailed:
+    """Return the `PlatformFailed` for a transport error."""
+    if isinstance(error, NOT_SENT_ERRORS):
         return PlatformFailed(UNREACHABLE, maybe_done=False)
     reason = TIMEOUT if isinstance(error, httpx.TimeoutException) else BROKEN
     return PlatformFailed(reason, maybe_done=True)
 
 
-def checked(response: httpx.Response) -> httpx.Response | PlatformFailed:
-    """Return the answer, or a failure for a server error.
+def check_status(response: httpx.Response) -> httpx.Response | PlatformFailed:
+    """Return the response, or a failure for a server error.
 
-    The platform answers 503 before it does anything; after any other server error
-    the call may have been done.
+    The platform responds with 503 before it does anything; after any other server error
+    the call may have taken effect.
     """
     if response.status_code == 503:
         return PlatformFailed("unavailable", maybe_done=False)
@@ -121,28 +121,28 @@
 
 
 class PlatformCalls:
-    """Connections to the platform.
+    """HTTP client for the platform.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     address : Address
-        Of the platform.
+        Address of the platform.
     timeout_s : float
-        Bound on each call but the watches, in seconds. A read whose answer goes on
-        coming is not given up then: asked again, it would fill a slow link anew.
-    idle_bound_s : float
-        Longest silence of a watch, in seconds.
+        Timeout of each call except watches, in seconds. A read whose response keeps
+        arriving may take longer, since repeating it would load a slow link again.
+    idle_timeout_s : float
+        Maximum silence of a watch, in seconds.
 
     Attributes
     ----------
-    made : int
-        Calls made; a watch counts once.
-    is_lost : bool
+    call_count : int
+        Number of calls made; a watch counts once.
+    is_unreachable : bool
         Whether the last call failed.
-    returned_s : float
-        When a call last succeeded after one that had failed, in trio time.
+    reconnected_s : float
+        When a call last succeeded after a failed one, in trio time.
     """
 
     def __init__(
@@ -150,34 +150,34 @@
         network: Network,
         address: Address,
         timeout_s: float = TIMEOUT_S,
-        idle_bound_s: float = IDLE_BOUND_S,
+        idle_timeout_s: float = IDLE_TIMEOUT_S,
     ) -> None:
         self.network = network
         self.url = f"http://{address}"
         self.timeout_s = timeout_s
-        self.idle_bound_s = idle_bound_s
-        self.made = 0
-        self.is_lost = False
-        self.returned_s = float("-inf")
+        self.idle_timeout_s = idle_timeout_s
+        self.call_count = 0
+        self.is_unreachable = False
+        self.reconnected_s = float("-inf")
         self.pool = self.new_pool()
 
     async def aclose(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         await self.pool.client.aclose()
 
     def new_pool(self) -> Pool:
         """Return a pool without connections."""
-        # Shorter than the whole call, so that a platform that can't be reached is
-        # told apart from one that may have heard us.
+        # The connect timeout is shorter than that of the call, so that an unreachable
+        # platform is distinguished from one that may have received the request.
         client = http_client(self.network, self.timeout_s)
         client.timeout = httpx.Timeout(self.timeout_s, connect=self.timeout_s / 2)
         return Pool(client)
 
     async def get(self, path: str) -> httpx.Response | PlatformFailed:
-        """Read, over a second connection where the first one broke.
+        """Make a GET request, and retry it once on a new connection if it breaks.
 
-        A kept connection that the platform closed meanwhile breaks at the next
-        call. A read may be repeated, so the caller need not hear of it.
+        A pooled connection that the platform has closed fails at the next call. Since a
+        read may be repeated, this failure is not returned.
         """
         response = await self.call("GET", path)
         if isinstance(response, PlatformFailed) and response.reason == BROKEN:
@@ -193,19 +193,19 @@
         headers: dict[str, str] | None = None,
         wait_s: float = 0.0,
     ) -> httpx.Response | PlatformFailed:
-        """Make one call and read its whole answer.
+        """Make one call and read its complete response.
 
         Parameters
         ----------
         method, path, content, headers
-            Of the HTTP request.
+            Components of the HTTP request.
         wait_s : float
-            How long the platform may hold the answer back, in seconds; the bound on
-            the call is that much longer.
+            How long the platform may delay its response (long polling), in seconds;
+            added to the timeout of the call.
         """
-        self.made += 1
+        self.call_count += 1
         pool = self.pool
-        pool.users += 1
+        pool.active_calls += 1
         failed = PlatformFailed(TIMEOUT, maybe_done=True)
         timeout = httpx.Timeout(self.timeout_s + wait_s, connect=self.timeout_s / 2)
         request = pool.client.build_request(
@@ -215,84 +215,87 @@
             with trio.move_on_after(self.timeout_s + wait_s) as scope:
                 response = await pool.client.send(request, stream=True)
                 body = await self.read_body(response, scope)
-                whole = httpx.Response(response.status_code, content=body)
-                return self.noted(checked(whole))
+                complete = httpx.Response(response.status_code, content=body)
+                return self.record_outcome(check_status(complete))
         except httpx.TransportError as error:
-            failed = failure_of(error)
+            failed = map_error(error)
         finally:
-            await self.leave(pool)
+            await self.release_pool(pool)
         if failed.reason == TIMEOUT:
             self.retire(pool)
-        return self.noted(failed)
+        return self.record_outcome(failed)
 
     async def read_body(
         self, response: httpx.Response, scope: trio.CancelScope
     ) -> bytes:
-        """Return the body of an answer; each part of a read moves its deadline."""
+        """Return the body of a response; each chunk of a read extends its deadline."""
         is_read = response.request.method == "GET"
-        latest_s = scope.deadline + (LONGEST_READ - 1) * self.timeout_s
+        max_deadline_s = scope.deadline + (MAX_READ_TIMEOUTS - 1) * self.timeout_s
         body = bytearray()
         try:
-            async for part in response.aiter_bytes():
-                body += part
+            async for chunk in response.aiter_bytes():
+                body += chunk
                 if is_read:
-                    due_s = trio.current_time() + self.timeout_s
-                    scope.deadline = min(latest_s, max(scope.deadline, due_s))
+                    deadline_s = trio.current_time() + self.timeout_s
+                    scope.deadline = min(
+                        max_deadline_s, max(scope.deadline, deadline_s)
+                    )
         finally:
             with trio.CancelScope(shield=True):
                 await response.aclose()
         return bytes(body)
 
-    def noted(
+    def record_outcome(
         self, outcome: httpx.Response | PlatformFailed
     ) -> httpx.Response | PlatformFailed:
-        """Take note of whether the platform is there."""
+        """Record whether the platform is reachable."""
         if isinstance(outcome, PlatformFailed):
-            self.is_lost = True
-        elif self.is_lost:
-            self.is_lost = False
-            self.returned_s = trio.current_time()
+            self.is_unreachable = True
+        elif self.is_unreachable:
+            self.is_unreachable = False
+            self.reconnected_s = trio.current_time()
         return outcome
 
     def retire(self, pool: Pool) -> None:
-        """Use new connections from now on.
+        """Replace a pool, so that further calls use new connections.
 
-        Connections can go silent for good while new ones work. With only the
-        silent one closed, each other kept connection would cost a timeout of its
-        own; calls under way on them may still end well and are left alone.
+        Connections can become permanently silent while new ones work. If only the
+        silent one were closed, each other pooled connection would cost a timeout of its
+        own. Calls in progress on them may still succeed and are not interrupted.
         """
         if pool is not self.pool:
             return
         pool.is_retired = True
         self.pool = self.new_pool()
 
-    async def leave(self, pool: Pool) -> None:
-        """Close a retired pool after its last user."""
-        pool.users -= 1
-        if pool.is_retired and pool.users == 0:
+    async def release_pool(self, pool: Pool) -> None:
+        """End a call on a pool; close a retired pool after its last call."""
+        pool.active_calls -= 1
+        if pool.is_retired and pool.active_calls == 0:
             with trio.CancelScope(shield=True):
                 await pool.client.aclose()
 
     @asynccontextmanager
-    async def follow(
+    async def open_watch(
         self, path: str, parse: Callable[[dict], Any]
     ) -> AsyncIterator[Watch]:
-        """Open an answer that goes on, on a connection of its own.
+        """Open a streamed response on a new connection.
 
         Parameters
         ----------
         path : str
             Path and query.
         parse : callable
-            Makes an item of the JSON value of a line.
+            Decodes the JSON value of a line to an item.
 
         Yields
         ------
         watch : Watch
-            Where no answer came, it is empty and says why in ``ended``.
+            Items of the response. Without a response it is empty and its ``ended`` is
+            the reason.
         """
-        self.made += 1
-        timeout = httpx.Timeout(self.timeout_s, read=self.idle_bound_s)
+        self.call_count += 1
+        timeout = httpx.Timeout(self.timeout_s, read=self.idle_timeout_s)
         async with http_client(self.network) as client:
             request = client.build_request("GET", self.url + path, timeout=timeout)
             response = await self.open(client, request)
@@ -308,11 +311,11 @@
     async def open(
         self, client: httpx.AsyncClient, request: httpx.Request
     ) -> httpx.Response | PlatformFailed:
-        """Send a request and return its answer with the body unread."""
+        """Send a request and return its response with the body unread."""
         try:
             response = await client.send(request, stream=True)
         except httpx.TransportError as error:
-            return failure_of(error)
+            return map_error(error)
         if response.status_code != 200:
             await response.aclose()
             return PlatformFailed(f"status {response.status_code}")
--- a/src/rosemaryknot/connection/stream_transport.py
+++ b/src/rosemaryknot/connection/stream_transport.py
@@ -1,8 +1,8 @@
-"""An httpx transport for long streams: one connection for each request.
+"""An httpx transport for long streams, with one connection for each request.
 
-`rosemaryknot.connection.http_client` goes through a connection pool, which runs
-several generators, locks and timers for each chunk. A stream of tokens arrives in
-chunks of one token, so that cost is paid for each; here a chunk passes from the
+`rosemaryknot.connection.http_client` uses a connection pool, which runs several
+generators, locks and timers for each chunk. A stream of tokens arrives in chunks of one
+token, so this cost would be paid for every token. Here a chunk passes directly from the
 socket through h11 to the reader.
 """
 
@@ -23,31 +23,31 @@
 BROKEN = (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError)
 
 
-def mapped_error(error: Exception) -> httpx.TransportError:
-    """Return the httpx error for a broken connection or response."""
+def map_error(error: Exception) -> httpx.TransportError:
+    """Return the httpx error for a failed connection or an invalid response."""
     if isinstance(error, h11.RemoteProtocolError):
         return httpx.RemoteProtocolError(str(error))
-    return httpx.ReadError("the connection broke")
+    return httpx.ReadError("connection failed while reading the response")
 
 
 def is_at_end(event: h11.Data, parser: h11.Connection) -> bool:
-    """Tell whether nothing can follow a part of a body before more bytes come.
+    """Return whether the parser has no further event before more bytes arrive.
 
-    Asking the parser once more costs as much as the token. Behind a chunk there may
-    be the end of its line; the next chunk takes more bytes than that.
+    Calling the parser once more would cost as much as the token itself. At most the
+    line end of the chunk may remain in its buffer; another chunk takes more bytes.
     """
     return event.chunk_end and len(parser.trailing_data[0]) <= len(LINE_END)
 
 
 class StreamBody(httpx.AsyncByteStream):
-    """Body of a response, read as it arrives.
+    """Response body that is read as it arrives.
 
     Parameters
     ----------
     stream : trio.abc.HalfCloseableStream
-        The connection, which ends with the body.
+        The connection, which is closed after the body.
     parser : h11.Connection
-        Its state, with the response's head read.
+        Parser that has read the head of the response.
     """
 
     def __init__(
@@ -57,24 +57,24 @@
         self.parser = parser
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Yield what has arrived; chunks that came together are joined."""
+        """Yield received data; chunks that arrived together are joined."""
         parser, stream = self.parser, self.stream
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         try:
             while True:
                 event = parser.next_event()
                 if type(event) is h11.Data:
-                    parts.append(bytes(event.data))
+                    chunks.append(bytes(event.data))
                     if not is_at_end(event, parser):
                         continue
-                if parts:
-                    yield b"".join(parts)
-                    parts.clear()
+                if chunks:
+                    yield b"".join(chunks)
+                    chunks.clear()
                 if event is not h11.NEED_DATA and type(event) is not h11.Data:
                     return
                 parser.receive_data(await receive_next(stream, RECEIVE_BYTES))
         except BROKEN as error:
-            raise mapped_error(error) from error
+            raise map_error(error) from error
 
     async def aclose(self) -> None:
         """Close the connection."""
@@ -82,28 +82,29 @@
 
 
 class StreamTransport(httpx.AsyncBaseTransport):
-    """Requests over a `Network`, each on a connection of its own.
+    """httpx transport that opens a new connection for each request.
 
-    Only the timeout of connecting is kept here. Whoever makes a call bounds the
-    whole of it: a timer for each read costs as much as a token.
+    Only the connect timeout is enforced here. The calling code has to limit the
+    duration of the whole request, since a timer for each read would cost as much as
+    processing a token.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     """
 
     def __init__(self, network: Network) -> None:
         self.network = network
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send a request and return the response with its open body."""
+        """Send a request and return the response with its body unread."""
         stream = await self.connect(request)
         try:
             return await self.exchange(stream, request)
         except BROKEN as error:
             await trio.aclose_forcefully(stream)
-            raise mapped_error(error) from error
+            raise map_error(error) from error
         except BaseException:
             await trio.aclose_forcefully(stream)
             raise
@@ -117,7 +118,7 @@
             with trio.fail_after(math.inf if timeout_s is None else timeout_s):
                 return await self.network.dial(address)
         except trio.TooSlowError as error:
-            raise httpx.ConnectTimeout("no connection in time") from error
+            raise httpx.ConnectTimeout("connecting timed out") from error
         except OSError as error:
             raise httpx.ConnectError(str(error)) from error
 
@@ -150,19 +151,20 @@
 
 
 def stream_client(network: Network, connect_timeout_s: float) -> httpx.AsyncClient:
-    """Return a client whose every request has a connection of its own.
+    """Return a client that opens a new connection for each request.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     connect_timeout_s : float
-        Bound on connecting, in seconds.
+        Timeout for connecting, in seconds.
 
     Returns
     -------
     client : httpx.AsyncClient
-        Its calls are to be bounded by whoever makes them.
+        Client without read and write timeouts; the calling code has to limit the
+        duration of its requests.
     """
     return httpx.AsyncClient(
         transport=StreamTransport(network),
--- a/src/rosemaryknot/platform/adapter.py
+++ b/src/rosemaryknot/platform/adapter.py
@@ -1,12 +1,12 @@
-"""Puts the adapter of the platform together."""
+"""Assembly of the platform's adapter."""
 
 from rosemaryknot.connection.network import Network
 from rosemaryknot.platform.documents import (
     CONFIGURATION_KIND,
     CONFIGURATION_NAME,
     SERVERS_KIND,
-    configuration_of,
-    server_of,
+    decode_configuration,
+    decode_server,
 )
 from rosemaryknot.platform.duties import PlatformDuties
 from rosemaryknot.platform.headers import PlatformWire
@@ -17,7 +17,8 @@
 __all__ = ["make_adapter"]
 
 READINESS_PATH = "/v1/readyz"
-# The platform's names of duties.
+# Names of duties by the platform's names. A duty is a task that only the holder of a
+# lease performs.
 DUTIES = {"usage": "usage", "autoscale": "scaling"}
 
 
@@ -27,9 +28,10 @@
     Parameters
     ----------
     settings : NodeSettings
-        Where the platform answers; the names of duties become the project's own.
+        Settings with the addresses of the platform. The names of duties are replaced
+        by those of this project.
     network : Network
-        Where connections come from.
+        Opens the connections.
     """
     duties = None
     if settings.cloud is not None:
@@ -40,8 +42,8 @@
         wire=PlatformWire(),
         store=PlatformStore(network, settings.store.address),
         duties=duties,
-        decode_configuration=configuration_of,
-        decode_server=server_of,
+        decode_configuration=decode_configuration,
+        decode_server=decode_server,
         configuration_kind=CONFIGURATION_KIND,
         configuration_name=CONFIGURATION_NAME,
         servers_kind=SERVERS_KIND,
--- a/src/rosemaryknot/platform/duties.py
+++ b/src/rosemaryknot/platform/duties.py
@@ -1,4 +1,7 @@
-"""Calls to the platform that carry the holder of a duty and its fencing number."""
+"""Calls to the platform that carry the holder of a duty and its fencing token.
+
+A duty is a task that only the holder of a lease performs.
+"""
 
 import json
 from typing import Any
@@ -15,16 +18,16 @@
 
 
 class PlatformDuties:
-    """The duties' calls; see `rosemaryknot.values.duties.DutyCalls`.
+    """Calls of duties; implements `rosemaryknot.values.duties.DutyCalls`.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Opens the connections.
     address : Address
-        Of the platform.
+        Address of the platform.
     node : str
-        Name of this node, the holder.
+        Name of this node, which holds the lease.
     """
 
     def __init__(self, network: Network, address: Address, node: str) -> None:
@@ -32,13 +35,13 @@
         self.node = node
 
     async def aclose(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         await self.calls.aclose()
 
     async def send_usage(
         self, window: int, counts: dict[str, int], fencing: int
     ) -> DutyDone | DutyRefused | DutyFailed:
-        """Tell the usage of a window."""
+        """Report the usage of a window."""
         return await self.post(
             "/usage", {"windowId": window, "counts": counts}, fencing
         )
@@ -46,7 +49,7 @@
     async def send_order(
         self, order: SizeOrder, fencing: int
     ) -> DutyDone | DutyRefused | DutyFailed:
-        """Order servers; ``spot`` names the kind that the cloud may take back."""
+        """Order a number of servers; ``spot`` marks reclaimable ones."""
         body: dict[str, Any] = {
             "service": order.service,
             "zone": order.zone,
@@ -59,7 +62,7 @@
     async def post(
         self, path: str, body: dict[str, Any], fencing: int
     ) -> DutyDone | DutyRefused | DutyFailed:
-        """Make one call."""
+        """Send one call and classify its response."""
         headers = {
             "content-type": "application/json",
             "rosemaryknot-duty-holder": self.node,
--- a/src/rosemaryknot/platform/headers.py
+++ b/src/rosemaryknot/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers, to and from the gateway's own types."""
+"""Conversion between HTTP headers and the gateway's own types."""
 
 from collections.abc import Iterable
 
@@ -9,7 +9,7 @@
     PromptSegment,
     RoutedServer,
 )
-from rosemaryknot.values.gateway_answers import AnswerHead, TargetFault
+from rosemaryknot.values.gateway_responses import ResponseHead, TargetFault
 
 __all__ = ["PlatformWire"]
 
@@ -20,14 +20,14 @@
 NOT_RUN = b"rosemaryknot-not-executed"
 SIGNATURE = b"rosemaryknot-instance-signature"
 TOKENS = b"rosemaryknot-token-usage"
-PROMPT_PARTS = b"rosemaryknot-prefix-hash"
+PROMPT_SEGMENTS = b"rosemaryknot-prefix-hash"
 PRIORITY = b"rosemaryknot-request-priority"
 LAST_EVENT_ID = b"last-event-id"
 AUTHORIZATION = b"authorization"
 BEARER = "bearer "
 MISDIRECTED = 421
 
-# Concern one connection only, by RFC 9110.
+# Headers that apply to a single connection (RFC 9110).
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -42,9 +42,9 @@
         b"upgrade",
     )
 )
-# A caller that could set these would reserve or read other requests' memory, pass
-# before others, or act under another customer's name.
-OURS_TO_SET = frozenset(
+# Headers that only the gateway may set. A caller that set them could reserve or read
+# the memory of other requests, bypass priorities, or act as another customer.
+RESERVED_HEADERS = frozenset(
     (
         AUTHORIZATION,
         DEADLINE,
@@ -69,8 +69,8 @@
 )
 
 
-def named_by_connection(headers: Headers) -> set[bytes]:
-    """Return the headers that a ``Connection`` header names."""
+def connection_specific_headers(headers: Headers) -> set[bytes]:
+    """Return the names listed in ``Connection`` headers."""
     named: set[bytes] = set()
     for name, value in headers:
         if name == b"connection":
@@ -78,7 +78,7 @@
     return named
 
 
-def first(headers: Headers, name: bytes) -> str | None:
+def first_value(headers: Headers, name: bytes) -> str | None:
     """Return the first value of a header, or None."""
     for known, value in headers:
         if known == name:
@@ -86,8 +86,8 @@
     return None
 
 
-def number_of(text: str | None) -> float | None:
-    """Return a number that is not negative, or None."""
+def parse_non_negative(text: str | None) -> float | None:
+    """Return a finite, non-negative number, or None if the text is not one."""
     try:
         number = float(text)
     except (TypeError, ValueError):
@@ -95,62 +95,64 @@
     return number if 0 <= number < float("inf") else None
 
 
-def parts_of(text: str) -> tuple[PromptSegment, ...]:
-    """Return the parts of a prompt; what has another form is left out.
+def decode_segments(text: str) -> tuple[PromptSegment, ...]:
+    """Decode the segments of a prompt; malformed entries are skipped.
 
     Examples
     --------
-    >>> parts_of("5c1e:800, 91bd:410")[1]
+    >>> decode_segments("5c1e:800, 91bd:410")[1]
     PromptSegment(id='91bd', tokens=410)
-    >>> parts_of("rubbish")
+    >>> decode_segments("rubbish")
     ()
     """
     segments = []
     for entry in text.split(","):
-        part_id, _, tokens = entry.strip().partition(":")
+        segment_id, _, tokens = entry.strip().partition(":")
         if tokens.isdecimal():
-            segments.append(PromptSegment(part_id, int(tokens)))
+            segments.append(PromptSegment(segment_id, int(tokens)))
     return tuple(segments)
 
 
-def size_of(headers: Headers) -> ModelInput | None:
-    """Return the size of a model request, or None for another one."""
-    tokens = first(headers, TOKENS)
+def decode_size(headers: Headers) -> ModelInput | None:
+    """Decode the size of a model request; None for other requests."""
+    tokens = first_value(headers, TOKENS)
     if tokens is None:
         return None
     prompt, _, output = tokens.partition(",")
-    segments = first(headers, PROMPT_PARTS) or ""
+    segments = first_value(headers, PROMPT_SEGMENTS) or ""
     return ModelInput(
-        int(number_of(prompt) or 0), int(number_of(output) or 0), parts_of(segments)
+        int(parse_non_negative(prompt) or 0),
+        int(parse_non_negative(output) or 0),
+        decode_segments(segments),
     )
 
 
-def key_of(headers: Headers) -> str | None:
-    """Return the API key, or None."""
-    value = first(headers, AUTHORIZATION)
+def decode_api_key(headers: Headers) -> str | None:
+    """Return the API key, or None if there is none."""
+    value = first_value(headers, AUTHORIZATION)
     if value is None or not value.lower().startswith(BEARER):
         return None
     return value[len(BEARER) :].strip()
 
 
-def keep_alive_of(headers: Headers) -> float | None:
-    """Return how long a server keeps an idle connection, in seconds.
+def decode_keep_alive_s(headers: Headers) -> float | None:
+    """Return how long a server keeps an idle connection open, in seconds.
 
     Examples
     --------
-    >>> keep_alive_of([(b"keep-alive", b"timeout=5, max=100")])
+    >>> decode_keep_alive_s([(b"keep-alive", b"timeout=5, max=100")])
     5.0
     """
-    value = first(headers, b"keep-alive") or ""
+    value = first_value(headers, b"keep-alive") or ""
     for part in value.split(","):
         name, _, number = part.strip().partition("=")
         if name.lower() == "timeout":
-            return number_of(number)
+            return parse_non_negative(number)
     return None
 
 
 class PlatformWire:
-    """The platform's headers; see `rosemaryknot.values.gateway_answers.GatewayWire`."""
+    """Header codec of the platform; implements `GatewayWire`."""
 
     def read_request(
         self,
@@ -160,27 +162,27 @@
         body: bytes,
         arrived_s: float,
     ) -> GatewayRequest | TargetFault:
-        """Decode a request of a caller."""
+        """Decode a caller's request."""
         pairs = [(name.lower(), value) for name, value in headers]
-        host = first(pairs, b"host")
+        host = first_value(pairs, b"host")
         if host is None or not target.startswith(b"/"):
             return TargetFault(400, "no host, or a target that is no path")
-        dropped = HOP_BY_HOP | OURS_TO_SET | named_by_connection(pairs)
+        dropped = HOP_BY_HOP | RESERVED_HEADERS | connection_specific_headers(pairs)
         dropped |= {b"content-length"}
-        patience_ms = number_of(first(pairs, DEADLINE))
-        last_event_id = first(pairs, LAST_EVENT_ID)
+        patience_ms = parse_non_negative(first_value(pairs, DEADLINE))
+        last_event_id = first_value(pairs, LAST_EVENT_ID)
         return GatewayRequest(
-            id=first(pairs, REQUEST_ID) or "",
+            id=first_value(pairs, REQUEST_ID) or "",
             method=method,
             target=target,
             host=host.rpartition(":")[0] if ":" in host else host,
             path=target.partition(b"?")[0].decode("latin-1"),
             headers=[pair for pair in pairs if pair[0] not in dropped],
             body=body,
-            key=key_of(pairs),
-            patience_s=None if patience_ms is None else patience_ms / 1000,
+            key=decode_api_key(pairs),
+            caller_timeout_s=None if patience_ms is None else patience_ms / 1000,
             arrived_s=arrived_s,
-            size=size_of(pairs),
+            size=decode_size(pairs),
             last_event_id=last_event_id.encode("latin-1") if last_event_id else None,
         )
 
@@ -189,13 +191,13 @@
         request: GatewayRequest,
         server: RoutedServer,
         customer: str | None,
-        left_s: float,
+        remaining_s: float,
         priority: int | None,
         last_event_id: bytes | None,
     ) -> Headers:
-        """Return the headers of a request as it goes to a server."""
+        """Return the headers of a request to a backend server."""
         headers = list(request.headers)
-        headers.append((DEADLINE, str(max(1, int(left_s * 1000))).encode()))
+        headers.append((DEADLINE, str(max(1, int(remaining_s * 1000))).encode()))
         headers.append((EXPECTED_SERVER, server.id.encode()))
         if customer is not None:
             headers.append((CUSTOMER, customer.encode()))
@@ -207,27 +209,27 @@
             headers.append((b"content-length", str(len(request.body)).encode()))
         return headers
 
-    def read_answer(
+    def read_response(
         self, status: int, headers: Iterable[tuple[bytes, bytes]]
-    ) -> AnswerHead:
-        """Decode the head of a server's answer."""
+    ) -> ResponseHead:
+        """Decode the status and headers of a backend server's response."""
         pairs = [(name.lower(), value) for name, value in headers]
-        named = named_by_connection(pairs)
+        named = connection_specific_headers(pairs)
         dropped = HOP_BY_HOP | named
         names = {name for name, _ in pairs}
-        return AnswerHead(
+        return ResponseHead(
             status=status,
-            request_id=first(pairs, REQUEST_ID) or "",
+            request_id=first_value(pairs, REQUEST_ID) or "",
             not_run=NOT_RUN in names or status == MISDIRECTED,
             is_signed=SIGNATURE in names,
             is_closing=b"close" in named,
-            keep_alive_s=keep_alive_of(pairs),
+            keep_alive_s=decode_keep_alive_s(pairs),
             has_length=b"content-length" in names or b"transfer-encoding" in names,
             headers=[pair for pair in pairs if pair[0] not in dropped],
         )
 
     def refusal_headers(self, request: GatewayRequest | None) -> Headers:
-        """Return what identifies the request in an answer of our own."""
+        """Return the headers that identify the request in a response of the gateway."""
         if request is None or not request.id:
             return []
         return [(REQUEST_ID, request.id.encode("latin-1"))]
--- a/src/rosemaryknot/platform/store.py
+++ b/src/rosemaryknot/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as an `ObjectStore`, with watches that wait for changes."""
+"""Client of the platform's object store, with watches by long polling."""
 
 import json
 from typing import Any
@@ -6,13 +6,13 @@
 import httpx
 
 from rosemaryknot.connection.network import Network
-from rosemaryknot.connection.platform_calls import BAD_ANSWER, PlatformCalls
-from rosemaryknot.platform.store_answers import (
-    changed_objects,
-    item_of,
-    objects_of,
-    page_of,
-    stored_object,
+from rosemaryknot.connection.platform_calls import BAD_RESPONSE, PlatformCalls
+from rosemaryknot.platform.store_responses import (
+    decode_events,
+    decode_object,
+    decode_objects,
+    parse_item,
+    parse_page,
 )
 from rosemaryknot.values.nodes import Address
 from rosemaryknot.values.platform import (
@@ -23,7 +23,7 @@
     StoredObject,
     Written,
 )
-from rosemaryknot.values.store_changes import Changes, HistoryGone
+from rosemaryknot.values.store_changes import Changes, HistoryExpired
 
 __all__ = ["PlatformStore"]
 
@@ -36,20 +36,20 @@
 
 
 def object_path(kind: str, name: str = "") -> str:
-    """Return the path of a kind, or of one of its objects."""
+    """Return the path of a kind of object, or of one object."""
     return f"/v1/objects/{kind}" + (f"/{name}" if name else "")
 
 
-def wrapped(name: str, value: Any, revision: int | None = None) -> bytes:
-    """Return a value as the body of a write."""
+def encode_object(name: str, value: Any, revision: int | None = None) -> bytes:
+    """Encode a value as the body of a write."""
     metadata: dict[str, Any] = {"name": name, "finalizers": []}
     if revision is not None:
         metadata["revision"] = revision
     return json.dumps({"metadata": metadata, "spec": value}).encode()
 
 
-def written(response: httpx.Response | PlatformFailed) -> Any:
-    """Return what a write came to."""
+def decode_write(response: httpx.Response | PlatformFailed) -> Any:
+    """Return the outcome of a write."""
     if isinstance(response, PlatformFailed):
         return response
     try:
@@ -60,31 +60,31 @@
         if response.status_code == NOT_FOUND:
             return Conflict(0)
     except (ValueError, KeyError, TypeError):
-        return PlatformFailed(BAD_ANSWER, maybe_done=True)
+        return PlatformFailed(BAD_RESPONSE, maybe_done=True)
     return PlatformFailed(f"status {response.status_code}")
 
 
 class PlatformStore:
-    """The store at an address; every outcome is a value.
+    """Client of the object store; every outcome is a value.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Opens the connections.
     address : Address
-        Of the store.
+        Address of the store.
     """
 
     def __init__(self, network: Network, address: Address) -> None:
         self.calls = PlatformCalls(network, address)
 
     @property
-    def returned_s(self) -> float:
-        """When the store was last there again after a call that had failed."""
-        return self.calls.returned_s
+    def reconnected_s(self) -> float:
+        """When the store last became reachable again after a failed call."""
+        return self.calls.reconnected_s
 
     async def aclose(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         await self.calls.aclose()
 
     async def read(
@@ -96,9 +96,11 @@
             return response
         if response.status_code == NOT_FOUND:
             return Missing()
-        # A value that cannot be read is no object; its revision is not known then.
-        found = parsed(response, lambda content: stored_object(item_of(content), kind))
-        return PlatformFailed(BAD_ANSWER) if found is None else found
+        # A response that cannot be parsed gives no object, as its revision is unknown.
+        found = decode_response(
+            response, lambda content: decode_object(parse_item(content), kind)
+        )
+        return PlatformFailed(BAD_RESPONSE) if found is None else found
 
     async def list_objects(self, kind: str) -> Listed | PlatformFailed:
         """Read all objects of a kind, page by page."""
@@ -107,40 +109,42 @@
         for _ in range(MAX_PAGES):
             query = f"?sinceRevision={after}" if after else ""
             response = await self.calls.get(object_path(kind) + query)
-            page = parsed(response, lambda content: page_of(content, "items"))
+            page = decode_response(
+                response, lambda content: parse_page(content, "items")
+            )
             if isinstance(page, PlatformFailed):
                 return page
             try:
-                # The first page's revision: a change between two pages is then
-                # seen again in the watch rather than missed.
+                # Take the revision of the first page: a change between two pages is
+                # then seen again in the watch rather than missed.
                 listed.version = listed.version or int(page["storeRevision"])
             except (ValueError, KeyError, TypeError, OverflowError):
-                return PlatformFailed(BAD_ANSWER)
-            found = objects_of(page["items"], kind)
+                return PlatformFailed(BAD_RESPONSE)
+            found = decode_objects(page["items"], kind)
             listed.objects |= found
             if not page.get("hasMore"):
                 return listed
             if not found:
-                return PlatformFailed(BAD_ANSWER)
+                return PlatformFailed(BAD_RESPONSE)
             after = list(found)[-1]
         return PlatformFailed("too many pages")
 
     async def create(self, kind: str, name: str, value: Any) -> Any:
-        """Write an object that must not exist yet."""
-        return await self.write("POST", object_path(kind), wrapped(name, value))
+        """Create an object that must not exist yet."""
+        return await self.write("POST", object_path(kind), encode_object(name, value))
 
     async def update(self, kind: str, name: str, value: Any, version: int) -> Any:
-        """Write an object that must still have the version."""
-        content = wrapped(name, value, version)
+        """Update an object if it still has the version."""
+        content = encode_object(name, value, version)
         return await self.write("PUT", object_path(kind, name), content)
 
     async def write(self, method: str, path: str, content: bytes) -> Any:
         """Send a write."""
-        return written(await self.calls.call(method, path, content, JSON))
+        return decode_write(await self.calls.call(method, path, content, JSON))
 
     async def changes(
         self, kind: str, since: int, wait_s: float
-    ) -> Changes | HistoryGone | PlatformFailed:
+    ) -> Changes | HistoryExpired | PlatformFailed:
         """Wait for changes of a kind.
 
         Parameters
@@ -150,12 +154,13 @@
         since : int
             Revision up to which changes are known.
         wait_s : float
-            How long the store holds the answer while there are none, in seconds.
+            How long the store delays the response if there are no changes, in
+            seconds.
 
         Returns
         -------
-        changes : Changes or HistoryGone or PlatformFailed
-            `HistoryGone` where only a list helps.
+        changes : Changes or HistoryExpired or PlatformFailed
+            `HistoryExpired` if the objects must be listed again.
         """
         query = f"?watch={since}&waitMs={int(wait_s * 1000)}"
         path = object_path(kind) + query
@@ -163,18 +168,18 @@
         if isinstance(response, PlatformFailed):
             return response
         if response.status_code == GONE:
-            return HistoryGone()
-        return parsed(response, lambda content: changes_of(content, kind))
+            return HistoryExpired()
+        return decode_response(response, lambda content: decode_changes(content, kind))
 
 
-def changes_of(content: bytes, kind: str) -> Changes:
-    """Return the changes that an answer to a watch tells."""
-    page = page_of(content, "events")
-    return Changes(int(page["storeRevision"]), changed_objects(page["events"], kind))
+def decode_changes(content: bytes, kind: str) -> Changes:
+    """Decode the changes from the response to a watch."""
+    page = parse_page(content, "events")
+    return Changes(int(page["storeRevision"]), decode_events(page["events"], kind))
 
 
-def parsed(response: httpx.Response | PlatformFailed, parse: Any) -> Any:
-    """Return what an answer says, or a failure where it makes no sense."""
+def decode_response(response: httpx.Response | PlatformFailed, parse: Any) -> Any:
+    """Parse the content of a response, or return a failure if it is invalid."""
     if isinstance(response, PlatformFailed):
         return response
     if response.status_code not in OK:
@@ -182,4 +187,4 @@
     try:
         return parse(response.content)
     except (ValueError, KeyError, TypeError, OverflowError):
-        return PlatformFailed(BAD_ANSWER)
+        return PlatformFailed(BAD_RESPONSE)
--- a/src/rosemaryknot/process/admin.py
+++ b/src/rosemaryknot/process/admin.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: the agent's address, the key, the output."""
+"""Common code of the operators' commands: options, requests to an agent, output."""
 
 import json
 import os
@@ -23,12 +23,12 @@
 from rosemaryknot.values.nodes import Address
 
 __all__ = [
-    "AgentAnswer",
+    "AgentResponse",
     "AgentOptions",
     "JsonOption",
-    "NoAnswer",
+    "NoResponse",
     "application",
-    "ask_agent",
+    "request_agent",
     "call_agent",
     "exit_code_of",
     "print_json",
@@ -47,14 +47,14 @@
 
 @dataclass(slots=True)
 class AgentOptions:
-    """Where the agent is and how to prove who asks.
+    """Address of the agent and credentials of the operator.
 
     Attributes
     ----------
     agent : Address or None
-        Operators' address of an agent.
+        Address of an agent's operators' API; None if none was given.
     key : str
-        The operator's API key; empty where none was given.
+        The operator's API key; empty if none was given.
     """
 
     agent: Address | None
@@ -62,15 +62,15 @@
 
 
 @dataclass(slots=True)
-class AgentAnswer:
-    """Answer of an agent.
+class AgentResponse:
+    """Response of an agent.
 
     Attributes
     ----------
     status : int
         HTTP status.
     body : dict
-        The JSON object of the answer.
+        JSON object of the response body.
     """
 
     status: int
@@ -78,15 +78,15 @@
 
 
 @dataclass(slots=True)
-class NoAnswer:
-    """Why there is no answer of an agent.
+class NoResponse:
+    """Reason for a missing or unusable response of an agent.
 
     Attributes
     ----------
     code : ExitCode
-        What it means for the command.
+        Exit code of the command.
     detail : str
-        A sentence for people.
+        Description for the operator.
     """
 
     code: ExitCode
@@ -94,7 +94,7 @@
 
 
 def agent_address(text: str | None) -> Address | None:
-    """Return the agent's address; a wrong one ends the program."""
+    """Parse the agent's address, or end the program if it is invalid."""
     if text is None:
         return None
     try:
@@ -104,7 +104,7 @@
 
 
 def operator_key(file: Path | None) -> str:
-    """Return the operator's key from a file or from the environment."""
+    """Return the operator's API key from a file or from the environment."""
     if file is None:
         return os.environ.get(KEY_ENV, "").strip()
     try:
@@ -155,75 +155,80 @@
     return ExitCode.FAILED
 
 
-async def exchange(
+async def send_request(
     network: Network,
     options: AgentOptions,
     method: str,
     path: str,
     headers: Mapping[str, str],
     content: bytes | None,
-) -> AgentAnswer:
-    """Send one request and return the JSON object that answers it."""
-    sent = dict(headers)
+) -> AgentResponse:
+    """Send one request and return the response, which must be a JSON object."""
+    request_headers = dict(headers)
     if options.key:
-        sent["Authorization"] = f"Bearer {options.key}"
+        request_headers["Authorization"] = f"Bearer {options.key}"
     async with http_client(network, TIMEOUT_S) as client:
         response = await client.request(
-            method, f"http://{options.agent}{path}", headers=sent, content=content
+            method,
+            f"http://{options.agent}{path}",
+            headers=request_headers,
+            content=content,
         )
     body = response.json()
     if not isinstance(body, dict):
-        raise ValueError("no JSON object")
-    return AgentAnswer(response.status_code, body)
+        raise ValueError("response body is not a JSON object")
+    return AgentResponse(response.status_code, body)
 
 
-async def ask_agent(
+async def request_agent(
     network: Network,
     options: AgentOptions,
     method: str,
     path: str,
     headers: Mapping[str, str] | None = None,
     content: bytes | None = None,
-) -> AgentAnswer | NoAnswer:
+) -> AgentResponse | NoResponse:
     """Send one request to an agent.
 
     Parameters
     ----------
     network : Network
-        Where the connection comes from.
+        Network that opens the connection.
     options : AgentOptions
         The agent and the key.
     method, path : str
-        Of the operators' API.
+        Method and path of the operators' API.
     headers : mapping of str to str, optional
-        Further headers.
+        Additional headers.
     content : bytes, optional
-        The body.
+        Request body.
 
     Returns
     -------
-    answer : AgentAnswer or NoAnswer
-        Whatever the agent said, or why nothing came.
+    response : AgentResponse or NoResponse
+        The agent's response, including refusals, or why there is none.
     """
     agent = options.agent
     if agent is None:
         detail = "give --agent IP:PORT or set ROSEMARYKNOT_AGENT"
-        return NoAnswer(ExitCode.BAD_USAGE, detail)
+        return NoResponse(ExitCode.BAD_USAGE, detail)
     try:
-        return await exchange(network, options, method, path, headers or {}, content)
+        return await send_request(
+            network, options, method, path, headers or {}, content
+        )
     except (httpx.ConnectError, httpx.ConnectTimeout):
-        detail = f"agent {agent} does not answer; nothing was sent"
-        return NoAnswer(ExitCode.UNREACHABLE, detail)
+        detail = f"cannot connect to agent {agent}; nothing was sent"
+        return NoResponse(ExitCode.UNREACHABLE, detail)
     except httpx.TransportError:
         if method == "GET":
-            return NoAnswer(ExitCode.UNREACHABLE, f"agent {agent} gave no answer")
-        # The request may have arrived whole: a person who reads "failed" here would
-        # send the change again, on top of itself.
-        detail = f"agent {agent} gave no answer; the change may be in force"
-        return NoAnswer(ExitCode.UNKNOWN, detail)
+            return NoResponse(ExitCode.UNREACHABLE, f"agent {agent} did not respond")
+        # The agent may have received the complete request. If the command reported a
+        # failure, the operator would submit the change a second time.
+        detail = f"agent {agent} did not respond; the change may have been applied"
+        return NoResponse(ExitCode.UNKNOWN, detail)
     except ValueError:
-        detail = f"{agent} does not speak the operators' API"
-        return NoAnswer(ExitCode.FAILED, detail)
+        detail = f"{agent} does not provide the operators' API"
+        return NoResponse(ExitCode.FAILED, detail)
 
 
 def call_agent(
@@ -232,45 +237,45 @@
     path: str,
     headers: Mapping[str, str] | None = None,
     content: bytes | None = None,
-) -> AgentAnswer:
-    """Send one request to an agent, or end the program when it gives no answer.
+) -> AgentResponse:
+    """Send one request to an agent, or end the program if there is no response.
 
     Parameters
     ----------
     options : AgentOptions
         The agent and the key, from ``context.obj``.
     method, path : str
-        Of the operators' API.
+        Method and path of the operators' API.
     headers : mapping of str to str, optional
-        Further headers.
+        Additional headers.
     content : bytes, optional
-        The body.
+        Request body.
 
     Returns
     -------
-    answer : AgentAnswer
-        Whatever the agent said, refusals too; see `exit_code_of`.
+    response : AgentResponse
+        The agent's response, including refusals; see `exit_code_of`.
 
     Raises
     ------
     typer.Exit
-        With the code of the `NoAnswer` where there is no answer.
+        With the code of the `NoResponse` if there is no response.
     """
-    answer = trio.run(
-        ask_agent, SocketNetwork(), options, method, path, headers, content
+    response = trio.run(
+        request_agent, SocketNetwork(), options, method, path, headers, content
     )
-    if isinstance(answer, NoAnswer):
-        fail(answer.detail, answer.code)
-    return answer
+    if isinstance(response, NoResponse):
+        fail(response.detail, response.code)
+    return response
 
 
 def print_json(value: Any) -> None:
-    """Print a value for programs, on one line."""
+    """Print a value as JSON on one line."""
     typer.echo(json.dumps(value, default=str))
 
 
 def print_table(titles: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print rows for people.
+    """Print rows as an aligned table.
 
     Parameters
     ----------
--- a/src/rosemaryknot/process/admin_configuration.py
+++ b/src/rosemaryknot/process/admin_configuration.py
@@ -1,4 +1,4 @@
-"""Operators' commands on the configuration."""
+"""Operators' commands for the configuration."""
 
 import json
 import secrets
@@ -11,18 +11,18 @@
 
 from rosemaryknot.connection.network import Network, SocketNetwork
 from rosemaryknot.process.admin import (
-    AgentAnswer,
     AgentOptions,
+    AgentResponse,
     JsonOption,
-    NoAnswer,
+    NoResponse,
     application,
-    ask_agent,
     call_agent,
     exit_code_of,
     print_json,
+    request_agent,
 )
 from rosemaryknot.process.admin_outcomes import (
-    checked,
+    checked_body,
     finish,
     print_changes,
     print_lines,
@@ -34,29 +34,29 @@
 
 CONFIGURATION = "/v1/configuration"
 PATCH_ID_BYTES = 8
-RESOLVE_TRIES = 5
-RESOLVE_PAUSE_S = 1.0
-CLOSED_OUTCOMES = frozenset({"accepted", "not_accepted"})
+RESOLVE_ATTEMPTS = 5
+RESOLVE_INTERVAL_S = 1.0
+FINAL_OUTCOMES = frozenset({"accepted", "not_accepted"})
 
 DryRunOption = Annotated[
-    bool, typer.Option("--dry-run", help="Tell the effect and change nothing.")
+    bool, typer.Option("--dry-run", help="Show the effect without making the change.")
 ]
 ConfirmOption = Annotated[
     list[str] | None,
     typer.Option(
         "--confirm",
         metavar="WORD",
-        help="Name of what is lost, as the refusal gives it; may be repeated.",
+        help="Confirmation word of a loss, as given in the refusal; may be repeated.",
     ),
 ]
 IdOption = Annotated[
     str | None,
-    typer.Option("--id", help="Patch id; the one of before repeats a patch safely."),
+    typer.Option("--id", help="Patch id; reuse it to repeat a patch safely."),
 ]
 
 
 def query(path: str, **values: Any) -> str:
-    """Return a path with those values that are given."""
+    """Return a path with the given values as its query string."""
     given = {key: value for key, value in values.items() if value not in (None, False)}
     return f"{path}?{urlencode(given, doseq=True)}" if given else path
 
@@ -66,11 +66,11 @@
     return secrets.token_hex(PATCH_ID_BYTES)
 
 
-def is_open(answer: AgentAnswer | NoAnswer) -> bool:
-    """Tell whether a change may have been made without a word of it."""
-    if isinstance(answer, NoAnswer):
-        return answer.code == ExitCode.UNKNOWN
-    return exit_code_of(answer.status) == ExitCode.UNKNOWN
+def is_unresolved(response: AgentResponse | NoResponse) -> bool:
+    """Return whether a change may have been made without a response."""
+    if isinstance(response, NoResponse):
+        return response.code == ExitCode.UNKNOWN
+    return exit_code_of(response.status) == ExitCode.UNKNOWN
 
 
 async def submit_patch(
@@ -81,41 +81,41 @@
     base: int,
     patch_id: str,
     content: bytes | None = None,
-) -> AgentAnswer | NoAnswer:
-    """Send a change, and ask by its id when the answer is lost.
+) -> AgentResponse | NoResponse:
+    """Submit a change, and query its result by id if the response is lost.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network that opens the connections.
     options : AgentOptions
         The agent and the key.
     method, path : str
-        Of the operators' API.
+        Method and path of the operators' API.
     base : int
-        Number that the change applies to.
+        Version number that the change applies to.
     patch_id : str
         Id of the change.
     content : bytes, optional
-        The body.
+        Request body.
 
     Returns
     -------
-    answer : AgentAnswer or NoAnswer
-        What became of it; still open where nobody can tell in time.
+    response : AgentResponse or NoResponse
+        Result of the change; unresolved if it cannot be determined in time.
     """
     headers = {"If-Match": str(base), "Rosemaryknot-Patch": patch_id}
-    answer = await ask_agent(network, options, method, path, headers, content)
+    response = await request_agent(network, options, method, path, headers, content)
     status_path = query(f"/v1/patches/{quote(patch_id, safe='')}", base=base)
-    for _ in range(RESOLVE_TRIES):
-        if not is_open(answer):
+    for _ in range(RESOLVE_ATTEMPTS):
+        if not is_unresolved(response):
             break
-        await trio.sleep(RESOLVE_PAUSE_S)
-        status = await ask_agent(network, options, "GET", status_path)
-        if isinstance(status, AgentAnswer):
-            if status.body.get("outcome") in CLOSED_OUTCOMES:
+        await trio.sleep(RESOLVE_INTERVAL_S)
+        status = await request_agent(network, options, "GET", status_path)
+        if isinstance(status, AgentResponse):
+            if status.body.get("outcome") in FINAL_OUTCOMES:
                 return status
-    return answer
+    return response
 
 
 def send_patch(
@@ -127,11 +127,11 @@
     patch_id: str | None,
     as_json: bool,
 ) -> None:
-    """Submit operations, print what became of them and end the program."""
+    """Submit operations, print the result and end the program."""
     patch_id = patch_id or new_patch_id()
     path = query(CONFIGURATION, dry_run=int(dry_run) or None, confirm=confirm or None)
     content = json.dumps(operations).encode()
-    answer = trio.run(
+    response = trio.run(
         submit_patch,
         SocketNetwork(),
         context.obj,
@@ -141,7 +141,7 @@
         patch_id,
         content,
     )
-    finish(answer, patch_id, as_json)
+    finish(response, patch_id, as_json)
 
 
 def read_operations(file: Path) -> Any:
@@ -154,37 +154,41 @@
     except OSError as error:
         fail(f"{file}: {error.strerror}", ExitCode.BAD_USAGE)
     except (ValueError, RecursionError) as error:
-        fail(f"{file}: no JSON: {error}", ExitCode.BAD_USAGE)
+        fail(f"{file}: invalid JSON: {error}", ExitCode.BAD_USAGE)
 
 
 @application.command()
 def show(
     context: typer.Context,
-    at: Annotated[int | None, typer.Option(help="An earlier number.")] = None,
+    at: Annotated[
+        int | None, typer.Option(help="Number of an earlier version.")
+    ] = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Show the configuration in force, or an earlier one."""
-    body = checked(call_agent(context.obj, "GET", query(CONFIGURATION, at=at)))
+    """Show the current configuration, or an earlier one."""
+    body = checked_body(call_agent(context.obj, "GET", query(CONFIGURATION, at=at)))
     if as_json:
         print_json(body)
         return
     typer.echo(f"number {body['number']}")
     if body.get("conflict"):
-        typer.echo("CONFLICT: two documents are known under this number")
+        typer.echo("CONFLICT: two different documents have this number")
     typer.echo(json.dumps(body["document"], indent=2, sort_keys=True))
 
 
 @application.command()
 def patch(
     context: typer.Context,
-    file: Annotated[Path, typer.Argument(metavar="FILE", help="JSON Patch; - reads.")],
-    base: Annotated[int, typer.Option(help="Number that you looked at.")],
+    file: Annotated[
+        Path, typer.Argument(metavar="FILE", help="JSON Patch; - for standard input.")
+    ],
+    base: Annotated[int, typer.Option(help="Version number the patch applies to.")],
     dry_run: DryRunOption = False,
     confirm: ConfirmOption = None,
     patch_id: IdOption = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Change the configuration by a JSON Patch against a number."""
+    """Change the configuration by a JSON Patch against a version number."""
     operations = read_operations(file)
     send_patch(context, operations, base, dry_run, confirm, patch_id, as_json)
 
@@ -193,10 +197,12 @@
 def patch_status(
     context: typer.Context,
     patch_id: Annotated[str, typer.Argument(metavar="ID")],
-    base: Annotated[int | None, typer.Option(help="Base of the patch.")] = None,
+    base: Annotated[
+        int | None, typer.Option(help="Base version number of the patch.")
+    ] = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Ask what became of a patch whose answer was lost."""
+    """Show the result of a patch whose response was lost."""
     path = query(f"/v1/patches/{quote(patch_id, safe='')}", base=base)
     finish(call_agent(context.obj, "GET", path), patch_id, as_json)
 
@@ -204,7 +210,7 @@
 @application.command()
 def history(context: typer.Context, as_json: JsonOption = False) -> None:
     """Show the recent changes, newest first."""
-    body = checked(call_agent(context.obj, "GET", f"{CONFIGURATION}/history"))
+    body = checked_body(call_agent(context.obj, "GET", f"{CONFIGURATION}/history"))
     if as_json:
         print_json(body)
     else:
@@ -220,7 +226,7 @@
 ) -> None:
     """Show what changed from number N to number M."""
     path = f"{CONFIGURATION}/diff?from={old}&to={new}"
-    body = checked(call_agent(context.obj, "GET", path))
+    body = checked_body(call_agent(context.obj, "GET", path))
     if as_json:
         print_json(body)
     else:
@@ -236,9 +242,9 @@
     patch_id: IdOption = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Take change N back by a new patch; later changes elsewhere stay."""
+    """Revert change N by a new patch; later changes of other values stay."""
     path = query(f"{CONFIGURATION}/undo", number=number)
-    body = checked(call_agent(context.obj, "GET", path))
+    body = checked_body(call_agent(context.obj, "GET", path))
     operations, base = body["operations"], body["base"]
     send_patch(context, operations, base, dry_run, confirm, patch_id, as_json)
 
@@ -246,30 +252,32 @@
 @application.command()
 def restore(
     context: typer.Context,
-    base: Annotated[int, typer.Option(help="Number in force at this agent.")],
+    base: Annotated[int, typer.Option(help="Current number of this agent.")],
     patch_id: IdOption = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Store the version in force at this agent again, after the store lost it.
+    """Store the current version of this agent again after the store has lost it.
 
-    Also settles a conflict of two documents under one number: the agent's wins.
+    Also resolves a conflict of two documents with one number: the agent's is used.
     """
     patch_id = patch_id or new_patch_id()
     path = f"{CONFIGURATION}/restore"
-    answer = trio.run(
+    response = trio.run(
         submit_patch, SocketNetwork(), context.obj, "POST", path, base, patch_id
     )
-    finish(answer, patch_id, as_json)
+    finish(response, patch_id, as_json)
 
 
 @application.command("new-key")
 def make_key(
     customer: Annotated[str | None, typer.Option(help="Customer's name.")] = None,
     operator: Annotated[str | None, typer.Option(help="Operator's name.")] = None,
-    editor: Annotated[bool, typer.Option("--editor", help="May change.")] = False,
+    editor: Annotated[
+        bool, typer.Option("--editor", help="May change the configuration.")
+    ] = False,
     as_json: JsonOption = False,
 ) -> None:
-    """Make an API key and the patch that adds it; sends nothing."""
+    """Generate an API key and the patch that adds it; sends nothing."""
     if (customer is None) == (operator is None):
         fail("give --customer or --operator", ExitCode.BAD_USAGE)
     if customer is not None:
--- a/src/rosemaryknot/process/admin_main.py
+++ b/src/rosemaryknot/process/admin_main.py
@@ -1,7 +1,7 @@
-"""Command line of the operators.
+"""Command line for operators.
 
 The commands register themselves with `rosemaryknot.process.admin.application`;
-`COMMAND_MODULES` names the modules that hold them.
+`COMMAND_MODULES` lists the modules that define them.
 """
 
 import importlib
@@ -24,7 +24,7 @@
 
 @application.command("check-settings")
 def check_settings(file: SettingsFile, as_json: JsonOption = False) -> None:
-    """Check a settings file and print everything that is wrong with it."""
+    """Validate a settings file and print all errors."""
     settings = load_settings(file)
     errors = [] if isinstance(settings, Settings) else settings
     if as_json:
@@ -33,7 +33,7 @@
         for error in errors:
             typer.echo(f"{file}: {error}", err=True)
     else:
-        typer.echo(f"{file}: settings are whole")
+        typer.echo(f"{file}: settings are valid")
     if errors:
         raise typer.Exit(ExitCode.BAD_SETTINGS)
 
--- a/src/rosemaryknot/process/admin_outcomes.py
+++ b/src/rosemaryknot/process/admin_outcomes.py
@@ -1,4 +1,4 @@
-"""Words and exit codes for what became of a change of the configuration."""
+"""Output and exit codes for the results of configuration changes."""
 
 import time
 from typing import Any
@@ -6,25 +6,25 @@
 import typer
 
 from rosemaryknot.process.admin import (
-    AgentAnswer,
-    NoAnswer,
+    AgentResponse,
+    NoResponse,
     exit_code_of,
     print_json,
     print_table,
 )
 from rosemaryknot.process.command_line import ExitCode, fail
 
-__all__ = ["checked", "finish", "print_changes", "print_lines"]
+__all__ = ["checked_body", "finish", "print_changes", "print_lines"]
 
 
 def print_lines(lines: list[str], indent: str = "  ") -> None:
-    """Print lines below a heading."""
+    """Print lines with an indent."""
     for line in lines:
         typer.echo(indent + line)
 
 
 def time_text(unix_s: float) -> str:
-    """Return a time of the epoch for people, in UTC.
+    """Format a Unix time in UTC.
 
     Examples
     --------
@@ -56,20 +56,20 @@
 
 
 def print_dry_run(body: dict) -> None:
-    """Print what a change would do."""
+    """Print the result of a dry run."""
     typer.echo(f"would be {body['number']}; nothing was changed")
     print_lines(body["effect"])
     print_dangers(body)
 
 
 def print_dangers(body: dict) -> None:
-    """Print what must be confirmed."""
+    """Print the losses that must be confirmed."""
     for danger in body["dangers"]:
         typer.echo(f"  {danger['text']}: needs --confirm {danger['word']}")
 
 
 def print_stale(body: dict) -> None:
-    """Print what changed since the base of a stale change."""
+    """Print the changes since the base of a stale patch."""
     if "changes" not in body:
         print_other(body)
         return
@@ -78,19 +78,19 @@
 
 
 def print_needs_confirm(body: dict) -> None:
-    """Print what a change would take away."""
-    typer.echo("not done: this takes something away")
+    """Print the unconfirmed losses of a change."""
+    typer.echo("not done: this change loses something")
     print_dangers(body)
 
 
 def print_invalid(body: dict) -> None:
-    """Print everything that is wrong with a change."""
-    typer.echo("not done: the patch is wrong")
+    """Print the errors of an invalid patch."""
+    typer.echo("not done: the patch is invalid")
     print_lines([f"{p['path'] or '/'}: {p['text']}" for p in body["problems"]])
 
 
 def print_store_conflict(body: dict) -> None:
-    """Print that the store lost a version."""
+    """Print that the store has lost the current version."""
     typer.echo(
         f"not done: the store holds {body['stored']}, {body['in_force']} is in"
         " force; see the page on configuration, 'The store went back'"
@@ -98,19 +98,19 @@
 
 
 def print_not_accepted(body: dict) -> None:
-    """Print that a change never came to be."""
-    typer.echo(f"not accepted and never will be; the number is {body['number']}")
+    """Print that a change was not accepted."""
+    typer.echo(f"not accepted, and can no longer be; the number is {body['number']}")
 
 
 def print_unknown(body: dict) -> None:
-    """Print how to ask again for a change that is open."""
+    """Print how to query the result of an unresolved change."""
     patch_id = body["patch_id"]
-    typer.echo(f"unknown ({body['reason']}): the change may be in force")
-    typer.echo(f"ask again: rosemaryknot-admin patch-status {patch_id}")
+    typer.echo(f"unknown ({body['reason']}): the change may have been applied")
+    typer.echo(f"query again: rosemaryknot-admin patch-status {patch_id}")
 
 
 def print_other(body: dict) -> None:
-    """Print an outcome without words of its own."""
+    """Print an outcome that has no printer of its own."""
     detail = body.get("detail") or body.get("reason") or "no reason given"
     typer.echo(f"not done: {body.get('outcome', 'refused')}: {detail}")
 
@@ -127,33 +127,33 @@
 }
 
 
-def code_of(answer: AgentAnswer) -> ExitCode:
-    """Return the exit code for what became of a change."""
-    if answer.body.get("outcome") == "not_accepted":
+def code_of(response: AgentResponse) -> ExitCode:
+    """Return the exit code for the result of a change."""
+    if response.body.get("outcome") == "not_accepted":
         return ExitCode.REFUSED
-    if answer.body.get("outcome") == "store_unavailable":
+    if response.body.get("outcome") == "store_unavailable":
         return ExitCode.UNREACHABLE
-    return exit_code_of(answer.status)
+    return exit_code_of(response.status)
 
 
-def finish(answer: AgentAnswer | NoAnswer, patch_id: str, as_json: bool) -> None:
-    """Print what became of a change and end the program with its code."""
-    if isinstance(answer, NoAnswer):
+def finish(response: AgentResponse | NoResponse, patch_id: str, as_json: bool) -> None:
+    """Print the result of a change and end the program with its exit code."""
+    if isinstance(response, NoResponse):
         hint = ""
-        if answer.code == ExitCode.UNKNOWN:
-            hint = f"; ask again: rosemaryknot-admin patch-status {patch_id}"
-        fail(answer.detail + hint, answer.code)
+        if response.code == ExitCode.UNKNOWN:
+            hint = f"; query again: rosemaryknot-admin patch-status {patch_id}"
+        fail(response.detail + hint, response.code)
     if as_json:
-        print_json(answer.body)
+        print_json(response.body)
     else:
-        PRINTERS.get(answer.body.get("outcome"), print_other)(answer.body)
-    raise typer.Exit(code_of(answer))
+        PRINTERS.get(response.body.get("outcome"), print_other)(response.body)
+    raise typer.Exit(code_of(response))
 
 
-def checked(answer: AgentAnswer) -> dict[str, Any]:
-    """Return the body of an answer, or end the program with its refusal."""
-    body = answer.body
-    if answer.status >= 300:
+def checked_body(response: AgentResponse) -> dict[str, Any]:
+    """Return the body of a response, or end the program if it is a refusal."""
+    body = response.body
+    if response.status >= 300:
         detail = body.get("detail") or body.get("reason") or body.get("outcome")
-        fail(detail or "no reason given", code_of(answer))
+        fail(detail or "no reason given", code_of(response))
     return body
--- a/src/rosemaryknot/process/admin_shards.py
+++ b/src/rosemaryknot/process/admin_shards.py
@@ -13,7 +13,7 @@
     print_json,
     print_table,
 )
-from rosemaryknot.process.admin_outcomes import checked
+from rosemaryknot.process.admin_outcomes import checked_body
 from rosemaryknot.process.command_line import ExitCode
 
 __all__ = ["confirm_ended", "shards"]
@@ -28,7 +28,7 @@
     Exit code 1 while an owner is not live: its shards are unavailable until it responds
     or is confirmed to have stopped.
     """
-    body = checked(call_agent(context.obj, "GET", SHARDS))
+    body = checked_body(call_agent(context.obj, "GET", SHARDS))
     if as_json:
         print_json(body)
     else:
@@ -80,7 +80,7 @@
         typer.echo(f"WARNING: {answer.body['detail']}", err=True)
         typer.echo(f"nothing was changed; repeat with --confirm {node}", err=True)
         raise typer.Exit(exit_code_of(answer.status))
-    body = checked(answer)
+    body = checked_body(answer)
     if as_json:
         print_json(body)
     else:
--- a/src/rosemaryknot/process/admin_status.py
+++ b/src/rosemaryknot/process/admin_status.py
@@ -1,4 +1,4 @@
-"""Operators' commands about the state of nodes and requests."""
+"""Operators' commands for the state of nodes and requests."""
 
 import json
 from typing import Annotated, Any
@@ -13,7 +13,7 @@
     print_json,
     print_table,
 )
-from rosemaryknot.process.admin_outcomes import checked
+from rosemaryknot.process.admin_outcomes import checked_body
 from rosemaryknot.process.command_line import ExitCode
 
 __all__ = ["drain", "explain", "status"]
@@ -23,9 +23,9 @@
 def status(context: typer.Context, as_json: JsonOption = False) -> None:
     """Show an agent's view: nodes, configuration, servers, alarms.
 
-    Exit code 1 while there is an alarm, so that a script notices.
+    The exit code is 1 while there is an alarm, so that scripts can detect it.
     """
-    body = checked(call_agent(context.obj, "GET", "/v1/status"))
+    body = checked_body(call_agent(context.obj, "GET", "/v1/status"))
     if as_json:
         print_json(body)
     else:
@@ -35,13 +35,13 @@
 
 
 def print_status(body: dict[str, Any]) -> None:
-    """Print a status for people."""
+    """Print a status as text."""
     node = body["node"]
     entries = entries_text(node["entries"])
     typer.echo(f"{node['name']} in {node['zone']}, {entries} connected")
-    typer.echo(f"configuration {body['configuration']['number']} in force\n")
+    typer.echo(f"configuration {body['configuration']['number']} is current\n")
     peers = [
-        [peer["name"], peer["zone"], peer["state"], yes(peer["linked"])]
+        [peer["name"], peer["zone"], peer["state"], yes_or_no(peer["linked"])]
         for peer in body["peers"]
     ]
     print_table(["node", "zone", "state", "linked"], peers)
@@ -52,8 +52,10 @@
     print_table(["service", "zone", "state", "servers"], servers)
     typer.echo("")
     for name, form in body["at_most_once"].items():
-        fields = ", ".join(f"{key} {short(value)}" for key, value in form.items())
-        typer.echo(f"at most once by {name}: {fields or 'nothing to tell'}")
+        fields = ", ".join(
+            f"{key} {value_or_length(value)}" for key, value in form.items()
+        )
+        typer.echo(f"at most once by {name}: {fields or 'no status'}")
     for placed in body.get("placement", []):
         typer.echo(placement_line(placed))
     for text in body["alarms"]:
@@ -61,23 +63,23 @@
 
 
 def placement_line(placed: dict[str, Any]) -> str:
-    r"""Return what is known of one service's placement for people.
+    r"""Format the placement status of one service.
 
     Examples
     --------
     >>> placed = {"service": "chat", "held_here": False, "holder": "waco-a-1/7"}
     >>> placement_line(placed | {"fencing": 3, "pending": [], "leaving": ["e1"]})
-    'placement of chat: held by waco-a-1/7, number 3\n  leaving: e1'
+    'placement of chat: held by waco-a-1/7, fencing token 3\n  leaving: e1'
     """
     line = f"placement of {placed['service']}: "
     if placed["held_here"]:
-        line += f"held here, number {placed['fencing']}"
+        line += f"held here, fencing token {placed['fencing']}"
         line += f", {placed['cost_per_hour']} an hour"
-        line += "" if placed["settled"] else ", still reading back"
+        line += "" if placed["settled"] else ", still reading the stored state"
     elif placed["holder"]:
-        line += f"held by {placed['holder']}, number {placed['fencing']}"
+        line += f"held by {placed['holder']}, fencing token {placed['fencing']}"
     else:
-        line += f"ask {', '.join(placed['candidates'])}"
+        line += f"query {', '.join(placed['candidates'])}"
     for order in placed["pending"]:
         line += f"\n  pending for {order['age_s']} s: {order['order']}"
     if placed["leaving"]:
@@ -86,17 +88,17 @@
 
 
 def entries_text(count: int) -> str:
-    """Return a number of entries for people."""
+    """Format a number of entries."""
     return "1 entry" if count == 1 else f"{count} entries"
 
 
-def yes(value: bool) -> str:
-    """Return a truth value for people."""
+def yes_or_no(value: bool) -> str:
+    """Format a truth value."""
     return "yes" if value else "no"
 
 
-def short(value: Any) -> str:
-    """Return a number, or how many a list or map holds."""
+def value_or_length(value: Any) -> str:
+    """Format a value, or the length of a list or dictionary."""
     return str(len(value)) if isinstance(value, list | dict) else str(value)
 
 
@@ -106,34 +108,34 @@
     request: Annotated[str, typer.Argument(help="Id from Rosemaryknot-Request.")],
     as_json: JsonOption = False,
 ) -> None:
-    """Tell a request's story: where it ran, moved, and why.
+    """Show the decisions about a request: where it ran, moved, and why.
 
-    The nodes remember the latest requests only. Exit code 4 when none of them
-    remembers this one, 1 when some could not be asked.
+    The nodes record the latest requests only. The exit code is 4 if none of them has
+    a record of this one, and 1 if some nodes could not be reached.
     """
     path = f"/v1/explain/{quote(request, safe='')}"
-    body = checked(call_agent(context.obj, "GET", path))
+    body = checked_body(call_agent(context.obj, "GET", path))
     if as_json:
         print_json(body)
     else:
-        print_story(body)
+        print_decisions(body)
     if not body["decisions"]:
         raise typer.Exit(ExitCode.REFUSED)
     if body["not_reached"]:
         raise typer.Exit(ExitCode.FAILED)
 
 
-def print_story(body: dict[str, Any]) -> None:
-    """Print the decisions about a request for people."""
+def print_decisions(body: dict[str, Any]) -> None:
+    """Print the decisions about a request as text."""
     for decision in body["decisions"]:
         fields = decision.get("fields", {}).items()
         values = " ".join(f"{name}={value}" for name, value in fields if value != "")
         line = f"{decision['time']} {decision['node']} {decision['part']}:"
         typer.echo(f"{line} {decision['text']} {values}".rstrip())
     if not body["decisions"]:
-        typer.echo(f"no node remembers {body['request']}")
+        typer.echo(f"no node has a record of {body['request']}")
     if body["not_reached"]:
-        typer.echo(f"could not ask {', '.join(body['not_reached'])}")
+        typer.echo(f"could not reach {', '.join(body['not_reached'])}")
 
 
 @application.command()
@@ -142,15 +144,15 @@
     node: Annotated[str, typer.Argument(help="Name of the node, as in `status`.")],
     as_json: JsonOption = False,
 ) -> None:
-    """Begin the planned stop of a node: its entries and its agent.
+    """Start the graceful shutdown of a node: its entries and its agent.
 
-    Its entries refuse new requests at once and end those in flight; its agent hands
-    over what it owns. Returns when the stop has begun.
+    The entries refuse new requests immediately and complete those in flight; the agent
+    hands over what it owns. Returns when the shutdown has started.
     """
     content = json.dumps({"node": node}).encode()
-    answer = call_agent(context.obj, "POST", "/v1/drain", content=content)
-    body = checked(answer)
+    response = call_agent(context.obj, "POST", "/v1/drain", content=content)
+    body = checked_body(response)
     if as_json:
         print_json(body)
     else:
-        typer.echo(f"{node} is stopping, with {entries_text(body['entries'])}")
+        typer.echo(f"{node} is shutting down, with {entries_text(body['entries'])}")
--- a/src/rosemaryknot/process/agent.py
+++ b/src/rosemaryknot/process/agent.py
@@ -1,4 +1,4 @@
-"""The agent process: the control plane of a node, put together."""
+"""The agent process, which runs the control plane of a node."""
 
 import os
 import random
@@ -35,7 +35,7 @@
 from rosemaryknot.process.server_distributor import ServerDistributor
 from rosemaryknot.process.servers import ServerTable
 from rosemaryknot.process.settings import Settings
-from rosemaryknot.process.standby import StandbyKeeper
+from rosemaryknot.process.standby import StandbyManager
 from rosemaryknot.process.status import StatusApi
 from rosemaryknot.values.control import DrainAccepted, DrainRequest
 from rosemaryknot.values.nodes import Node
@@ -48,9 +48,9 @@
 __all__ = ["Agent", "run_agent"]
 
 BOOTSTRAP_ENV = "ROSEMARYKNOT_BOOTSTRAP_KEY"
-ENTRY_GRACE_S = 5.0
-ENTRY_CHECK_S = 0.1
-LAST_MOMENT_S = 0.3
+ENTRY_STOP_TIMEOUT_S = 5.0
+ENTRY_CHECK_INTERVAL_S = 0.1
+MIN_ENTRY_WAIT_S = 0.3
 DRAIN_TIMEOUT_S = 2.0
 HANDOVER_TIMEOUT_S = 20.0
 
@@ -58,51 +58,52 @@
 
 
 class Agent:
-    """The parts of one agent process.
+    """The components of one agent process.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Validated settings.
     network : Network
-        Where connections come from and go to.
+        Accepts and opens connections.
     stop : trio.Event
-        Asks for a planned stop.
+        Set to request a graceful shutdown.
     rng : random.Random
-        For jitter and choices.
+        Source of jitter and random choices.
     unix_time : callable
-        Seconds of the epoch.
+        Returns the Unix time in seconds.
     bootstrap_key : str
-        Key of the operator who makes the first version; empty for none.
+        Key of the operator who creates the first version; empty for none.
     safeguards : Safeguards, optional
-        Tests may turn safeguards off.
+        Safeguards that tests may disable.
 
     Attributes
     ----------
     node : Node
-        This node; its incarnation is the wall time of the start.
+        This node; its incarnation is the wall-clock time of the start.
     handlers : Handlers
-        What to do with messages of entries and peers.
+        Handlers of messages from entries and peers.
     peers : PeerSet
         The other nodes.
     platform : PlatformClient
-        The platform's APIs.
+        Client of the platform APIs.
     servers : ServerTable
         Backend servers.
     holder : ConfigurationHolder
-        Configuration in force.
+        Active configuration.
     forms : dict of str to ClaimForm
-        Forms of at-most-once execution.
+        Implementations of at-most-once execution by name.
     is_draining : bool
-        Whether the whole node stops, its entries too.
+        Whether the whole node shuts down, including its entries.
     deadline_unix_s : float
-        When the node is taken away, as seconds of the epoch; 0 where not known.
-    standby : StandbyKeeper
-        Copies of model requests that other nodes relay.
+        Unix time in seconds at which the instance is terminated; 0 if not known.
+    standby : StandbyManager
+        Replicas of model requests that other nodes relay.
     limits : LimitOwner
         Budgets of the customers' limits.
     placement : PlacementManager
-        Placement leases, and the duty of those that this node holds.
+        Placement leases, and the duties (tasks that only a lease holder performs)
+        of the leases that this node holds.
     """
 
     def __init__(
@@ -135,21 +136,21 @@
         self.peer_metrics = PeerMetrics(self.peers)
         self.platform = PlatformClient(network, settings.platform)
         self.is_draining = False
-        self.has_stopped_entry = False
+        self.has_draining_entry = False
         self.deadline_unix_s = 0.0
-        self.add_servers()
-        self.add_configuration()
-        self.add_claims()
-        self.add_standby()
-        self.add_limits()
-        self.add_placement()
+        self.create_server_components()
+        self.create_configuration_components()
+        self.create_claim_components()
+        self.create_standby_components()
+        self.create_limit_components()
+        self.create_placement_components()
         app = operators_app(self.holder, self.store, bootstrap_key)
         app.register_blueprint(StatusApi(self).blueprint())
         app.register_blueprint(ShardsApi(self.shards).blueprint())
         self.server = HttpServer(app, network)
 
-    def add_servers(self) -> None:
-        """Put the parts about backend servers together."""
+    def create_server_components(self) -> None:
+        """Create the components for backend servers."""
         self.servers = ServerTable(self.safeguards)
         self.server_distributor = ServerDistributor(
             self.servers, self.peers, self.handlers, self.rng
@@ -158,8 +159,8 @@
             self.platform, self.servers, self.rng, self.server_distributor.is_watcher
         )
 
-    def add_configuration(self) -> None:
-        """Put the parts about the configuration together."""
+    def create_configuration_components(self) -> None:
+        """Create the components for the configuration."""
         self.holder = ConfigurationHolder(ConfigurationView.from_document)
         self.distributor = ConfigurationDistributor(
             self.node, self.holder, self.peers, len(self.settings.peers), self.rng
@@ -171,8 +172,8 @@
             lambda link: keep_entry_current(self.holder, link)
         )
 
-    def add_claims(self) -> None:
-        """Put the forms of at-most-once execution together."""
+    def create_claim_components(self) -> None:
+        """Create the implementations of at-most-once execution."""
         self.objects = ObjectClaims(self.platform, self.unix_time)
         self.shards = ShardClaims(
             self.node,
@@ -191,13 +192,13 @@
         register_claim_handlers(
             self.handlers,
             self.forms,
-            self.form_of,
+            self.claim_form,
             lambda: self.shards.maps.number,
         )
 
-    def add_standby(self) -> None:
-        """Put the parts about standby copies and the node's own reclaim together."""
-        self.standby = StandbyKeeper(
+    def create_standby_components(self) -> None:
+        """Create the components for standby replicas and draining of entries."""
+        self.standby = StandbyManager(
             self.peers,
             self.handlers,
             lambda name: self.servers.marks.get(name) is not None,
@@ -205,16 +206,16 @@
         )
         self.peers.on_entry_link.append(self.drain_entry)
 
-    def add_limits(self) -> None:
-        """Put the parts about the customers' limits together."""
+    def create_limit_components(self) -> None:
+        """Create the components for the customers' limits."""
         self.ended_nodes = StoppedNodes(self.peers, self.platform)
         source = LiveLimits(
             self.holder, self.peers, self.ended_nodes.is_confirmed_stopped
         )
         self.limits = LimitOwner(self.node, self.peers, source, self.handlers)
 
-    def add_placement(self) -> None:
-        """Put the parts about placement together."""
+    def create_placement_components(self) -> None:
+        """Create the components for placement."""
         self.placement = PlacementManager(
             self.node,
             self.peers.nodes,
@@ -228,11 +229,11 @@
             self.safeguards,
         )
 
-    def form_of(self, service: str) -> str:
-        """Return the form of a service by the configuration in force."""
+    def claim_form(self, service: str) -> str:
+        """Return the at-most-once form of a service in the active configuration."""
         view = self.holder.view
-        known = None if view is None else view.services.get(service)
-        return "" if known is None else known.at_most_once.form
+        definition = None if view is None else view.services.get(service)
+        return "" if definition is None else definition.at_most_once.form
 
     async def serve(self, nursery: trio.Nursery) -> None:
         """Start all tasks; return once peers, entries and operators can connect."""
@@ -252,7 +253,7 @@
         log.info(f"serving operators at {address}, links at {self.peers.listen}")
 
     async def watch_own_reclaim(self) -> None:
-        """Begin the planned stop when the instance of this node is taken back."""
+        """Start a graceful shutdown when the instance of this node is reclaimed."""
         revision = 0
         while True:
             mark = self.servers.marks.get(self.node.name)
@@ -262,76 +263,77 @@
             revision = await self.servers.wait_changed(revision)
 
     async def drain_entry(self, link: MessageLink) -> None:
-        """Ask an entry that connects while the node stops to stop too."""
+        """Request an entry that connects during shutdown to drain too."""
         if self.is_draining:
-            await self.ask_to_drain(link, "stop of the node")
-
-    async def ask_to_drain(self, link: MessageLink, operator: str) -> bool:
-        """Ask an entry to stop; tell whether it does."""
-        asked = DrainRequest(operator, self.deadline_unix_s)
-        answer = await link.call(asked, DRAIN_TIMEOUT_S)
-        accepted = isinstance(answer, DrainAccepted)
-        self.has_stopped_entry = self.has_stopped_entry or accepted
+            await self.request_drain(link, "stop of the node")
+
+    async def request_drain(self, link: MessageLink, operator: str) -> bool:
+        """Request an entry to drain; return whether it accepted."""
+        request = DrainRequest(operator, self.deadline_unix_s)
+        response = await link.call(request, DRAIN_TIMEOUT_S)
+        accepted = isinstance(response, DrainAccepted)
+        self.has_draining_entry = self.has_draining_entry or accepted
         return accepted
 
-    def awaits_entry(self) -> bool:
-        """Tell whether an entry of a node that is taken away may not know it yet.
+    def should_wait_for_entry(self) -> bool:
+        """Return whether an entry may not know yet that the instance is reclaimed.
 
-        An agent that restarts during the notice finds the mark before its entry has
-        linked up, and a frozen entry answers late. If the agent ended then, the entry
-        would go on accepting work until the node is gone, and lose it.
+        An agent that restarts during the notice period finds the mark before its
+        entry has connected, and a suspended entry responds late. If the agent exited
+        then, the entry would accept requests until the instance is terminated, and
+        lose them.
         """
-        left_s = self.deadline_unix_s - self.unix_time()
-        return not self.has_stopped_entry and left_s > LAST_MOMENT_S
+        remaining_s = self.deadline_unix_s - self.unix_time()
+        return not self.has_draining_entry and remaining_s > MIN_ENTRY_WAIT_S
 
     async def drain(self, operator: str, deadline_unix_s: float = 0.0) -> int:
-        """Begin the planned stop of the whole node; return how many entries stop.
+        """Start the graceful shutdown of the node; return how many entries drain.
 
         Parameters
         ----------
         operator : str
-            Who asked, for the log.
+            Who requested the shutdown, for the log.
         deadline_unix_s : float
-            When the node is taken away, as seconds of the epoch; 0 where it is not.
+            Unix time in seconds at which the instance is terminated; 0 for never.
         """
-        log.info("planned stop of the node", operator=operator)
+        log.info("starting graceful shutdown of the node", operator=operator)
         self.is_draining = True
         self.standby.is_stopping = True
         self.deadline_unix_s = deadline_unix_s
-        stopping = 0
+        draining = 0
         for link in list(self.peers.entries):
-            stopping += await self.ask_to_drain(link, operator)
+            draining += await self.request_drain(link, operator)
         self.stop.set()
-        return stopping
+        return draining
 
     async def end(self) -> None:
-        """Hand over what only this node holds, and say goodbye."""
+        """Hand over leases and claims, wait for the entries, and announce the leave."""
         self.standby.is_stopping = True
         with trio.move_on_after(HANDOVER_TIMEOUT_S) as scope:
             await self.hand_over()
         if scope.cancelled_caught:
-            log.error("not all was handed over")
-        await self.wait_entries()
+            log.error("handover of leases and claims timed out")
+        await self.wait_for_entries()
         await self.peers.leave()
         await self.server.close_idle()
-        log.info("planned stop is over")
+        log.info("graceful shutdown complete")
 
     async def hand_over(self) -> None:
-        """Hand over the placement leases and what the forms of claims own."""
+        """Hand over the placement leases and the claims."""
         await self.placement.end()
         for form in self.forms.values():
             hand_over = getattr(form, "hand_over", None)
             if hand_over is not None:
                 await hand_over()
 
-    async def wait_entries(self) -> None:
-        """Wait for the entries that stop too: they still report their results."""
-        bound_s = ENTRY_GRACE_S
+    async def wait_for_entries(self) -> None:
+        """Wait for the draining entries, which still report their results."""
+        timeout_s = ENTRY_STOP_TIMEOUT_S
         if self.is_draining:
-            bound_s = self.settings.limits.drain_timeout_s
-        with trio.move_on_after(bound_s):
-            while self.peers.entries or self.awaits_entry():
-                await trio.sleep(ENTRY_CHECK_S)
+            timeout_s = self.settings.limits.drain_timeout_s
+        with trio.move_on_after(timeout_s):
+            while self.peers.entries or self.should_wait_for_entry():
+                await trio.sleep(ENTRY_CHECK_INTERVAL_S)
 
 
 async def run_agent(
@@ -344,27 +346,27 @@
     safeguards: Safeguards | None = None,
     task_status: trio.TaskStatus[Agent] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run an agent until a planned stop is over.
+    """Run an agent until a graceful shutdown is complete.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings, with addresses for operators and links.
+        Validated settings, with addresses for operators and links.
     stop : trio.Event
-        Asks for a planned stop.
+        Set to request a graceful shutdown.
     network : Network
-        Where connections come from and go to.
+        Accepts and opens connections.
     rng : random.Random, optional
-        A seeded one in tests and replay.
+        Seeded random generator for tests and replay.
     unix_time : callable
-        Seconds of the epoch.
+        Returns the Unix time in seconds.
     bootstrap_key : str, optional
-        Key of the operator who makes the first version; by default the value of
+        Key of the operator who creates the first version; by default the value of
         ``ROSEMARYKNOT_BOOTSTRAP_KEY`` in the environment.
     safeguards : Safeguards, optional
-        Tests may turn safeguards off.
+        Safeguards that tests may disable.
     task_status : trio.TaskStatus
-        Told the agent once it can be reached.
+        Receives the agent once it is reachable.
     """
     rng = random.SystemRandom() if rng is None else rng
     if bootstrap_key is None:
@@ -378,6 +380,7 @@
         await stop.wait()
         await agent.end()
         nursery.cancel_scope.cancel()
-    # Only now: a task that still asks the platform with a closed client would raise,
-    # and a planned stop that handed everything over would end with a failure.
+    # Close the client only after all tasks ended. A task that called the platform
+    # with a closed client would raise, and a graceful shutdown that had handed over
+    # everything would end with a failure.
     await agent.platform.aclose()
--- a/src/rosemaryknot/process/agent_link.py
+++ b/src/rosemaryknot/process/agent_link.py
@@ -1,4 +1,4 @@
-"""The entry's link to the agent of its node."""
+"""The link of an entry to the agent of its node."""
 
 import random
 
@@ -22,41 +22,41 @@
 
 ROLE = "entry"
 AGENT_ROLE = "agent"
-# Links carry a heartbeat each second: three that are missing are a frozen agent or a
-# connection that went silent, and a new connection tells which.
-SILENCE_S = 3.0
-SHORTEST_SLEEP_S = 0.001
-FIRST_DELAY_S = 0.1
-LONGEST_DELAY_S = 2.0
+# Links carry a heartbeat each second. Three missing ones mean a suspended agent or a
+# silent connection; a new connection attempt shows which.
+SILENCE_TIMEOUT_S = 3.0
+MIN_SLEEP_S = 0.001
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 
 log = logger("agent")
-connected = gauge("agent_connected", "1 while the agent of the node answers.")
+connected_gauge = gauge("agent_connected", "1 while the agent of the node answers.")
 lost = counter("agent_links_lost_total", "Links to the agent that ended.")
 
 
 class AgentLink:
-    """Keeps a link to the agent, and dials again whenever it ends.
+    """Maintains a link to the agent and reconnects when it closes.
 
     Parameters
     ----------
     address : Address
-        Where the agent accepts links.
+        Address at which the agent accepts links.
     network : Network
-        Where connections come from.
+        Opens connections.
     key : bytes
         Cluster key.
     node : Node
-        What the entry says of itself.
+        Node of the entry, for the hello message.
     handlers : Handlers
-        What to do with messages of the agent. Parts of the entry register theirs
-        before `run`.
+        Handlers of messages from the agent. The components of the entry register
+        theirs before `run`.
     rng : random.Random
-        For jitter.
+        Source of jitter.
 
     Attributes
     ----------
     link : MessageLink or None
-        The link while the agent answers.
+        The link while the agent is connected.
     """
 
     def __init__(
@@ -76,27 +76,27 @@
         self.rng = rng
         self.link: MessageLink | None = None
         self.changed = trio.Event()
-        connected.set(0)
+        connected_gauge.set(0)
 
     @property
     def is_connected(self) -> bool:
-        """Whether the agent answers, as far as is known."""
+        """Whether the agent is believed to be connected."""
         return self.link is not None
 
     async def call(self, value: Message, timeout_s: float) -> Message | CallFailed:
-        """Ask the agent and wait for its answer.
+        """Send a request to the agent and wait for the response.
 
         Parameters
         ----------
         value : Message
-            The question.
+            The request.
         timeout_s : float
-            Bound on the wait, in seconds.
+            Timeout in seconds.
 
         Returns
         -------
-        answer : Message or CallFailed
-            The answer, or why there is none.
+        response : Message or CallFailed
+            The response, or why there is none.
         """
         link = self.link
         if link is None:
@@ -104,46 +104,48 @@
         return await link.call(value, timeout_s)
 
     async def send(self, value: Message) -> bool:
-        """Tell the agent something; False where it cannot be told."""
+        """Send a message to the agent; return False if it cannot be sent."""
         link = self.link
         return link is not None and await link.send(value)
 
     async def wait_connected(self) -> None:
-        """Wait until the agent answers."""
+        """Wait until the agent is connected."""
         while self.link is None:
             await self.changed.wait()
 
     async def run(self) -> None:
-        """Keep a link until cancelled."""
+        """Maintain a link until cancelled."""
         failures = 0
         while True:
-            if await self.hold_link():
+            if await self.run_one_link():
                 failures = 0
-            # Full jitter: entries whose agent restarts do not all dial at once.
-            bound_s = min(LONGEST_DELAY_S, FIRST_DELAY_S * 2**failures)
+            # Full jitter prevents entries from dialling a restarted agent all at once.
+            bound_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**failures)
             failures = min(failures + 1, 16)
             await trio.sleep(self.rng.uniform(0.0, bound_s))
 
-    async def hold_link(self) -> bool:
-        """Dial and hold one link to its end; tell whether it was ever open."""
+    async def run_one_link(self) -> bool:
+        """Open a link and run it until it closes; return whether it was opened."""
         try:
             stream = await self.network.dial(self.address)
         except OSError as error:
-            log.debug("cannot dial", error=type(error).__name__)
+            log.debug("cannot connect", error=type(error).__name__)
             return False
         try:
             link = await open_link(stream, self.key, self.hello(), self.handlers)
             if link.hello.role != AGENT_ROLE:
-                raise LinkClosed(f"a process with role {link.hello.role!r} answered")
+                raise LinkClosed(
+                    f"unexpected role {link.hello.role!r} of the other end"
+                )
         except LinkClosed as error:
-            log.warning("no link", reason=str(error))
+            log.warning("link handshake failed", reason=str(error))
             await trio.aclose_forcefully(stream)
             return False
         await self.run_link(link)
         return True
 
     async def run_link(self, link: MessageLink) -> None:
-        """Run a link until it ends or goes silent."""
+        """Run a link until it closes or becomes silent."""
         log.info("connected", agent=link.hello.name)
         self.set_link(link)
         reason = "silent"
@@ -154,34 +156,34 @@
                 nursery.cancel_scope.cancel()
         finally:
             self.set_link(None)
-        # Not reached at the end of the process, which loses nothing.
+        # Not reached when the process exits, which is not a lost link.
         lost.add()
-        log.warning("lost; going on by what is known", reason=reason)
+        log.warning("disconnected; using the last known state", reason=reason)
 
     def set_link(self, link: MessageLink | None) -> None:
-        """Keep the link, or that there is none, and wake who waits for it."""
+        """Set or clear the link and wake waiting tasks."""
         self.link = link
-        connected.set(0 if link is None else 1)
+        connected_gauge.set(0 if link is None else 1)
         changed, self.changed = self.changed, trio.Event()
         changed.set()
 
     def hello(self) -> Hello:
-        """Return what the entry says of itself."""
+        """Return the hello message of the entry."""
         return Hello(self.node.name, self.node.zone, self.node.incarnation, ROLE, b"")
 
 
 async def cancel_when_silent(link: MessageLink, scope: trio.CancelScope) -> None:
-    """End a link whose other end is frozen or out of reach.
+    """Close a link whose other end is suspended or unreachable.
 
-    A frozen agent keeps its connections open and never answers. Without this bound
-    every question to it would cost its whole timeout, for as long as it is frozen.
+    A suspended agent keeps its connections open and never responds. Without this
+    limit, each request to it would wait for its full timeout while it is suspended.
     """
     while True:
-        left_s = SILENCE_S - link.silence_s()
-        if left_s <= 0:
+        remaining_s = SILENCE_TIMEOUT_S - link.silence_s()
+        if remaining_s <= 0:
             link.close("silent")
             scope.cancel()
             return
-        # A rest too small to change the clock's floating-point value would make this
-        # loop spin without time passing.
-        await trio.sleep(max(left_s, SHORTEST_SLEEP_S))
+        # A sleep too short to change the floating-point value of the clock would make
+        # this loop spin without time passing.
+        await trio.sleep(max(remaining_s, MIN_SLEEP_S))
--- a/src/rosemaryknot/process/agent_main.py
+++ b/src/rosemaryknot/process/agent_main.py
@@ -1,4 +1,4 @@
-"""Command line of the agent: the control plane of a node."""
+"""Command line of the agent, which runs the control plane of a node."""
 
 from rosemaryknot.process.command_line import (
     EXIT_CODES,
@@ -15,7 +15,7 @@
 
 
 def load_agent() -> AsyncMain:
-    """Import and return the agent's main."""
+    """Import and return the main function of the agent."""
     from rosemaryknot.process.agent import run_agent
 
     return run_agent
@@ -25,8 +25,8 @@
 def agent(file: SettingsFile, version: VersionOption = False) -> None:
     """Serve operators, entries and peers until SIGTERM: the control plane of a node.
 
-    The first SIGTERM or SIGINT asks for a planned stop: what only this node holds
-    is handed over first. A second one cuts the wait short.
+    The first SIGTERM or SIGINT requests a graceful shutdown, which hands over the
+    leases and claims of this node. A second one ends the wait immediately.
     """
     run_program(file, ["operators", "links"], load_agent)
 
--- a/src/rosemaryknot/process/change_distributor.py
+++ b/src/rosemaryknot/process/change_distributor.py
@@ -16,7 +16,7 @@
 from rosemaryknot.process.gateway_configurations import GatewayConfigurations
 from rosemaryknot.process.gateway_exchange import GatewayExchange
 from rosemaryknot.process.logs import logger
-from rosemaryknot.process.peer_links import relays_of
+from rosemaryknot.process.peer_links import select_relays
 from rosemaryknot.process.peers import PeerSet
 from rosemaryknot.process.store_watcher import StoreWatcher
 from rosemaryknot.values.gateway_peers import StoreChanges
@@ -59,7 +59,7 @@
     each = math.ceil(MIN_WATCHING_NODES / len(zones))
     watching: set[str] = set()
     for zone in zones:
-        watching.update(relays_of([n.name for n in nodes if n.zone == zone], each))
+        watching.update(select_relays([n.name for n in nodes if n.zone == zone], each))
     return watching
 
 
--- a/src/rosemaryknot/process/claims/handlers.py
+++ b/src/rosemaryknot/process/claims/handlers.py
@@ -22,7 +22,7 @@
 def register_claim_handlers(
     handlers: Handlers,
     forms: Mapping[str, ClaimForm],
-    form_of: Callable[[str], str],
+    claim_form: Callable[[str], str],
     map_number: Callable[[], int] = lambda: 0,
 ) -> None:
     """Register the handlers for claims, close requests and results of entries.
@@ -33,7 +33,7 @@
         Handlers of the agent's links.
     forms : mapping of str to ClaimForm
         The forms that this agent runs, by name.
-    form_of : callable
+    claim_form : callable
         Returns the form of a service in the current configuration. It must never change
         for a service that has ids in use, since the other form has no records of them.
     map_number : callable
@@ -42,21 +42,21 @@
 
     @handlers.on(ClaimRequest)
     async def claim(request: ClaimRequest, link: MessageLink) -> Message:
-        form = forms.get(form_of(request.service))
+        form = forms.get(claim_form(request.service))
         if form is None:
             return refuse_unconfirmed(request, Reason.NO_CONFIGURATION, False)
         return await form.claim(request)
 
     @handlers.on(CloseRequest)
     async def close(request: CloseRequest, link: MessageLink) -> Message:
-        form = forms.get(form_of(request.service))
+        form = forms.get(claim_form(request.service))
         if form is None:
             return CloseReply(False, RefusedKind.UNKNOWN, Reason.NO_CONFIGURATION)
         return await form.close(request)
 
     @handlers.on(ResultRecord)
     async def record(result: ResultRecord, link: MessageLink) -> Message:
-        form = forms.get(form_of(result.service))
+        form = forms.get(claim_form(result.service))
         if form is None:
             return ResultStored(False)
         return await form.record(result)
--- a/src/rosemaryknot/process/claims/records.py
+++ b/src/rosemaryknot/process/claims/records.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from rosemaryknot.values.claims import (
-    MAX_KEPT_BODY_BYTES,
+    MAX_STORED_BODY_BYTES,
     ClaimAnswered,
     ClaimGranted,
     ClaimRefused,
@@ -240,7 +240,7 @@
     record: ClaimRecord,
     result: ResultRecord,
     now_s: float,
-    free_bytes: float = MAX_KEPT_BODY_BYTES,
+    free_bytes: float = MAX_STORED_BODY_BYTES,
 ) -> bool:
     """Apply the reported result of a claim.
 
@@ -277,7 +277,7 @@
     record.state = RunState.ANSWERED
     record.status = result.status
     size = len(result.body)
-    record.is_kept = result.is_whole and size <= min(free_bytes, MAX_KEPT_BODY_BYTES)
+    record.is_kept = result.is_whole and size <= min(free_bytes, MAX_STORED_BODY_BYTES)
     if record.is_kept:
         record.headers = [list(pair) for pair in result.headers]
         record.body = result.body
--- a/src/rosemaryknot/process/claims/replication.py
+++ b/src/rosemaryknot/process/claims/replication.py
@@ -23,10 +23,10 @@
 )
 from rosemaryknot.process.safeguards import Safeguards
 from rosemaryknot.values.claim_peers import (
-    CopiesGathered,
-    CopiesStored,
-    CopyRecords,
-    GatherCopies,
+    GatherReplicas,
+    ReplicasGathered,
+    ReplicasStored,
+    ReplicateRecords,
     WireRecord,
 )
 from rosemaryknot.values.claims import ClaimId
@@ -153,11 +153,11 @@
         """
         if not self.safeguards.claim_copy:
             return REPLICATION_DISABLED
-        message = CopyRecords(index, to_wire(items, trio.current_time()))
+        message = ReplicateRecords(index, to_wire(items, trio.current_time()))
         versions = [record.version for _, record in items]
         for node in self.candidates(index)[:MAX_ATTEMPTS]:
             reply = await self.peers.call(node.name, message, REPLICATION_TIMEOUT_S)
-            if isinstance(reply, CopiesStored) and reply.stored:
+            if isinstance(reply, ReplicasStored) and reply.stored:
                 self.counters["copied"] += 1
                 for (_, record), version in zip(items, versions, strict=True):
                     if record.version == version:
@@ -189,9 +189,9 @@
         found: list[WireRecord] = []
         after = 0
         while True:
-            message = GatherCopies(index, self.node.name, after)
+            message = GatherReplicas(index, self.node.name, after)
             reply = await self.peers.call(name, message, GATHER_TIMEOUT_S)
-            if not isinstance(reply, CopiesGathered):
+            if not isinstance(reply, ReplicasGathered):
                 return None
             found.extend(reply.records)
             after = reply.after
@@ -247,7 +247,7 @@
         """Return the replicas of a shard."""
         return list(self.table(index).records.items())
 
-    def page(self, request: GatherCopies) -> CopiesGathered:
+    def page(self, request: GatherReplicas) -> ReplicasGathered:
         """Return a page of a shard's replicas.
 
         All pages belong to a snapshot that is made for the first one.
@@ -262,7 +262,7 @@
             self.snapshots.pop(key, None)
         records = to_wire(page, trio.current_time())
         after = 0 if is_last else request.after + 1
-        return CopiesGathered(records, after, self.age_s)
+        return ReplicasGathered(records, after, self.age_s)
 
     def expire(self, now_s: float) -> None:
         """Remove expired replicas."""
@@ -272,11 +272,11 @@
     def register(self, handlers: Handlers) -> None:
         """Register the handlers for messages of owners and successors."""
 
-        @handlers.on(CopyRecords)
-        async def replicate(value: CopyRecords, link: MessageLink) -> Message:
+        @handlers.on(ReplicateRecords)
+        async def replicate(value: ReplicateRecords, link: MessageLink) -> Message:
             items = from_wire(value.records, trio.current_time())
-            return CopiesStored(self.store(value.shard, items))
+            return ReplicasStored(self.store(value.shard, items))
 
-        @handlers.on(GatherCopies)
-        async def gather_replicas(value: GatherCopies, link: MessageLink) -> Message:
+        @handlers.on(GatherReplicas)
+        async def gather_replicas(value: GatherReplicas, link: MessageLink) -> Message:
             return self.page(value)
--- a/src/rosemaryknot/process/claims/shard_map_manager.py
+++ b/src/rosemaryknot/process/claims/shard_map_manager.py
@@ -13,7 +13,7 @@
 )
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import gauge
-from rosemaryknot.values.claim_peers import MapAsk, MapPush
+from rosemaryknot.values.claim_peers import MapPush, MapRequest
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.values.platform import (
     Missing,
@@ -117,7 +117,7 @@
 
     async def request_map(self, name: str) -> bool:
         """Request a newer map from a peer; return whether it responded."""
-        reply = await self.peers.call(name, MapAsk(self.number), REQUEST_TIMEOUT_S)
+        reply = await self.peers.call(name, MapRequest(self.number), REQUEST_TIMEOUT_S)
         if isinstance(reply, MapPush):
             self.adopt_push(reply)
         return isinstance(reply, MapPush)
--- a/src/rosemaryknot/process/claims/shards.py
+++ b/src/rosemaryknot/process/claims/shards.py
@@ -23,8 +23,8 @@
 from rosemaryknot.process.safeguards import Safeguards
 from rosemaryknot.values.claim_peers import (
     HandoverRecords,
-    MapAsk,
     MapPush,
+    MapRequest,
     NotOwner,
     OwnerCall,
 )
@@ -243,8 +243,8 @@
         async def handover(page: HandoverRecords, link: MessageLink) -> Message:
             return self.ownership.receive_table_page(page)
 
-        @handlers.on(MapAsk)
-        async def map_ask(asked: MapAsk, link: MessageLink) -> Message:
+        @handlers.on(MapRequest)
+        async def map_ask(asked: MapRequest, link: MessageLink) -> Message:
             if asked.number >= self.maps.number:
                 return MapPush()
             return self.maps.push()
--- a/src/rosemaryknot/process/command_line.py
+++ b/src/rosemaryknot/process/command_line.py
@@ -1,4 +1,4 @@
-"""What the command lines of all programs share."""
+"""Common code of the command lines of all programs."""
 
 import signal
 from collections.abc import Awaitable, Callable, Sequence
@@ -50,9 +50,9 @@
 
 EXIT_CODES = """Exit codes:
 
-0 done; a planned stop ended whole.
+0 done; a graceful shutdown was completed.
 
-1 failed, or a planned stop was cut short.
+1 failed, or a graceful shutdown was aborted.
 
 2 wrong usage: see --help.
 
@@ -60,14 +60,14 @@
 
 4 refused: no permission, bad input, or the base version is stale.
 
-5 unreachable: nobody answered; nothing was changed.
+5 unreachable: there was no response; nothing was changed.
 
-6 unknown: the answer was lost, so the change may be in force; ask again.
+6 unknown: the response was lost, so the change may be active; query again.
 """
 
 
 def print_version(wanted: bool) -> None:
-    """Print the version and end the program, where asked."""
+    """Print the version and end the program if requested."""
     if wanted:
         typer.echo(f"rosemaryknot {__version__}")
         raise typer.Exit(ExitCode.OK)
@@ -88,20 +88,20 @@
 
 
 def new_application(help: str, **options: Any) -> typer.Typer:
-    """Return a typer application with our exit codes in its help.
+    """Return a typer application whose help lists the exit codes.
 
     Parameters
     ----------
     help : str
-        What the program does, for a person in the first week.
+        Description of the program, understandable without other documentation.
     **options
         Further options of `typer.Typer`.
 
     Returns
     -------
     application : typer.Typer
-        Without commands yet. Its crashes print a plain traceback: typer's own
-        shows local variables, which may hold secrets.
+        Application without commands. It prints plain tracebacks, since those of
+        typer show local variables, which may contain secrets.
     """
     return typer.Typer(
         help=help,
@@ -114,14 +114,14 @@
 
 
 def fail(message: str, code: ExitCode = ExitCode.FAILED) -> NoReturn:
-    """End the program with a line on standard error.
+    """Print an error on standard error and end the program.
 
     Parameters
     ----------
     message : str
-        What went wrong and what to do.
+        What failed and what the operator can do.
     code : ExitCode
-        The program's exit code.
+        Exit code of the program.
 
     Raises
     ------
@@ -133,7 +133,7 @@
 
 
 def checked_settings(file: Path, listeners: Sequence[str] = ()) -> Settings:
-    """Return whole settings, or print all errors and end the program.
+    """Return valid settings, or print all errors and end the program.
 
     Parameters
     ----------
@@ -145,12 +145,12 @@
     Returns
     -------
     settings : Settings
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     typer.Exit
-        With `ExitCode.BAD_SETTINGS` where something is wrong.
+        With `ExitCode.BAD_SETTINGS` if there are errors.
     """
     settings = load_settings(file)
     if isinstance(settings, Settings):
@@ -165,34 +165,34 @@
 
 async def watch_signals(
     stop: trio.Event,
-    cut_short: Callable[[], None],
+    abort: Callable[[], None],
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Turn the first stop signal into a planned stop, the second into an end.
+    """Start a graceful shutdown at the first signal and abort it at the second.
 
     Parameters
     ----------
     stop : trio.Event
-        Set at the first SIGTERM or SIGINT.
-    cut_short : callable
-        Called at the second.
+        Event that is set at the first SIGTERM or SIGINT.
+    abort : callable
+        Function that is called at the second signal.
     task_status : trio.TaskStatus
-        Told once signals are caught.
+        Status that is set as soon as signals are handled.
     """
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         task_status.started()
         async for number in signals:
             name = signal.Signals(number).name
             if stop.is_set():
-                log.warning("stop cut short", signal=name)
-                cut_short()
+                log.warning("graceful shutdown aborted by a second signal", signal=name)
+                abort()
             else:
-                log.info("planned stop; a second signal cuts it short", signal=name)
+                log.info("graceful shutdown; a second signal aborts it", signal=name)
                 stop.set()
 
 
 async def run_with_signals(async_main: AsyncMain, settings: Settings) -> ExitCode:
-    """Run a main until it returns or the stop is cut short."""
+    """Run a main function until it returns or the shutdown is aborted."""
     stop = trio.Event()
     done = False
     async with trio.open_nursery() as nursery:
@@ -204,42 +204,42 @@
     return ExitCode.OK if done else ExitCode.FAILED
 
 
-def leaves(group: BaseExceptionGroup) -> list[BaseException]:
-    """Return the errors of a group and of the groups in it."""
+def leaf_errors(group: BaseExceptionGroup) -> list[BaseException]:
+    """Return the errors of an exception group and of its nested groups."""
     found = []
     for error in group.exceptions:
         nested = isinstance(error, BaseExceptionGroup)
-        found += leaves(error) if nested else [error]
+        found += leaf_errors(error) if nested else [error]
     return found
 
 
 def run_process(async_main: AsyncMain, settings: Settings) -> ExitCode:
-    """Run the main of a long-lived process to its end.
+    """Run the main function of a long-running process.
 
-    The first SIGTERM or SIGINT asks for a planned stop by setting the event that
-    ``async_main`` is given; a second one cancels ``async_main``.
+    The first SIGTERM or SIGINT requests a graceful shutdown by setting the event that
+    is passed to ``async_main``; a second one cancels ``async_main``.
 
     Parameters
     ----------
     async_main : callable
         Called with the settings, the stop event and the network; returns when the
-        planned stop is over.
+        graceful shutdown is complete.
     settings : Settings
-        Checked settings.
+        Validated settings.
 
     Returns
     -------
     code : ExitCode
-        `ExitCode.OK` after a planned stop that ended whole.
+        `ExitCode.OK` after a complete graceful shutdown.
     """
     code = ExitCode.FAILED
     try:
         code = trio.run(run_with_signals, async_main, settings)
     except* OSError as group:
-        # An address that is taken or not ours is a fault of the settings or the
-        # machine, which a sentence explains better than a traceback.
-        for error in leaves(group):
-            log.error("cannot go on", error=str(error))
+        # An address that is in use or not assigned to this machine is an error of the
+        # settings or the machine; a message explains it better than a traceback.
+        for error in leaf_errors(group):
+            log.error("operating system error; the process ends", error=str(error))
     finally:
         flush_lines()
     return code
@@ -250,7 +250,7 @@
     listeners: Sequence[str],
     load_main: Callable[[], AsyncMain],
 ) -> NoReturn:
-    """Load the settings, set up the logs, run the main and exit.
+    """Load the settings, configure logging, run the main function and exit.
 
     Parameters
     ----------
@@ -259,7 +259,7 @@
     listeners : sequence of str
         Fields of `Listen` that the program needs.
     load_main : callable
-        Imports and returns the main.
+        Function that imports and returns the main function.
 
     Raises
     ------
--- a/src/rosemaryknot/process/control_handlers.py
+++ b/src/rosemaryknot/process/control_handlers.py
@@ -1,4 +1,4 @@
-"""What an entry does with its agent's questions and orders."""
+"""Handlers of the control messages that an entry receives from its agent."""
 
 from collections.abc import Callable
 from dataclasses import asdict
@@ -6,7 +6,7 @@
 import trio
 
 from rosemaryknot.connection.links import Handlers, MessageLink
-from rosemaryknot.process.decisions import DECISIONS, DecisionMemory
+from rosemaryknot.process.decisions import DECISIONS, DecisionLog
 from rosemaryknot.process.logs import logger
 from rosemaryknot.values.control import (
     DecisionsFetch,
@@ -23,31 +23,32 @@
 def register_control_handlers(
     handlers: Handlers,
     stop: trio.Event,
-    memory: DecisionMemory = DECISIONS,
-    note_deadline: Callable[[float], None] = lambda deadline_unix_s: None,
+    memory: DecisionLog = DECISIONS,
+    set_stop_deadline: Callable[[float], None] = lambda deadline_unix_s: None,
 ) -> None:
-    """Let the agent ask for decisions and for a planned stop.
+    """Register handlers for decision queries and graceful shutdown.
 
     Parameters
     ----------
     handlers : Handlers
-        Handlers of the process's links.
+        Message handlers of the process.
     stop : trio.Event
-        Set to begin the planned stop.
-    memory : DecisionMemory
-        Where the decisions are.
-    note_deadline : callable
-        Told when the node is taken away, before the planned stop begins.
+        Set to start the graceful shutdown.
+    memory : DecisionLog
+        Log of decisions to query.
+    set_stop_deadline : callable
+        Called with the Unix time at which the instance is terminated, before the
+        graceful shutdown starts.
     """
 
     @handlers.on(DecisionsFetch)
-    async def find(asked: DecisionsFetch, link: MessageLink) -> DecisionsFound:
-        decisions = memory.of(asked.request)
+    async def find(query: DecisionsFetch, link: MessageLink) -> DecisionsFound:
+        decisions = memory.of(query.request)
         return DecisionsFound([asdict(decision) for decision in decisions])
 
     @handlers.on(DrainRequest)
-    async def drain(asked: DrainRequest, link: MessageLink) -> DrainAccepted:
-        log.info("planned stop asked for", operator=asked.operator)
-        note_deadline(asked.deadline_unix_s)
+    async def drain(request: DrainRequest, link: MessageLink) -> DrainAccepted:
+        log.info("graceful shutdown requested", operator=request.operator)
+        set_stop_deadline(request.deadline_unix_s)
         stop.set()
         return DrainAccepted()
--- a/src/rosemaryknot/process/decisions.py
+++ b/src/rosemaryknot/process/decisions.py
@@ -1,4 +1,4 @@
-"""What a process remembers of its decisions about each request, within a bound."""
+"""A bounded log of the decisions that a process made about each request."""
 
 from collections import OrderedDict
 from collections.abc import MutableMapping
@@ -8,13 +8,13 @@
 __all__ = [
     "DECISIONS",
     "Decision",
-    "DecisionMemory",
-    "remember_line",
+    "DecisionLog",
+    "record_decision",
 ]
 
 MAX_REQUESTS = 2000
 MAX_DECISIONS = 60
-HIDDEN_FIELDS = frozenset({"event", "level", "part", "request", "timestamp"})
+EXCLUDED_FIELDS = frozenset({"event", "level", "part", "request", "timestamp"})
 
 
 @dataclass(slots=True)
@@ -24,13 +24,13 @@
     Attributes
     ----------
     time : str
-        Wall time of the process that decided.
+        Wall-clock time of the process that decided.
     part : str
-        Part of the process.
+        Component of the process.
     text : str
-        What was decided and why.
+        The decision and its reason.
     fields : dict
-        Its values, such as the candidates' scores.
+        Values of the decision, such as the scores of the candidates.
     """
 
     time: str
@@ -39,27 +39,27 @@
     fields: dict[str, str] = field(default_factory=dict)
 
 
-class DecisionMemory:
-    """Decisions of the latest requests.
+class DecisionLog:
+    """Decisions about the most recent requests.
 
     Attributes
     ----------
     by_request : collections.OrderedDict of str to list of Decision
-        Oldest request first; at most `MAX_REQUESTS` of them.
+        Decisions by request id, oldest request first; at most `MAX_REQUESTS`.
     """
 
     def __init__(self) -> None:
         self.by_request: OrderedDict[str, list[Decision]] = OrderedDict()
 
     def add(self, request_id: str, decision: Decision) -> None:
-        """Remember a decision; the oldest request makes room.
+        """Record a decision; evict the oldest request if there are too many.
 
         Parameters
         ----------
         request_id : str
-            The request.
+            Id of the request.
         decision : Decision
-            What was decided.
+            The decision.
         """
         decisions = self.by_request.setdefault(request_id, [])
         if len(decisions) < MAX_DECISIONS:
@@ -72,20 +72,20 @@
         return list(self.by_request.get(request_id, ()))
 
 
-DECISIONS = DecisionMemory()
+DECISIONS = DecisionLog()
 
 
-def remember_line(
+def record_decision(
     logger: Any, method: str, event: MutableMapping[str, Any]
 ) -> MutableMapping[str, Any]:
-    """Remember a log line that names a request.
+    """Record a log line that has a request id.
 
-    Every decision is logged with its request's id, so the log is the one place
-    where all of them pass. A structlog processor; returns the line unchanged.
+    This structlog processor returns the line unchanged. All decisions are logged
+    with a request id, so the log is the one place that sees all of them.
     """
     request_id = event.get("request")
     if isinstance(request_id, str):
-        fields = {k: str(v) for k, v in event.items() if k not in HIDDEN_FIELDS}
+        fields = {k: str(v) for k, v in event.items() if k not in EXCLUDED_FIELDS}
         decision = Decision(
             str(event.get("timestamp", "")),
             str(event.get("part", "")),
--- a/src/rosemaryknot/process/detached.py
+++ b/src/rosemaryknot/process/detached.py
@@ -1,4 +1,4 @@
-"""Work that goes on when the caller who asked for it has gone."""
+"""Work that continues after the caller who requested it disconnected."""
 
 import traceback
 from collections.abc import Awaitable, Callable
@@ -10,34 +10,35 @@
 from rosemaryknot.process.logs import logger
 from rosemaryknot.values.outcomes import Outcome, Reason, Unknown
 
-__all__ = ["Detached", "fault_fields"]
+__all__ = ["Detached", "error_fields"]
 
 log = logger("request")
 
 
-def fault_fields(error: Exception) -> dict[str, str]:
-    """Return what a log line tells of a fault: its kind and where it was raised.
+def error_fields(error: Exception) -> dict[str, str]:
+    """Return the log fields of an error: its type and where it was raised.
 
-    The error's own text may hold what a caller wrote, and is left out.
+    The error message may contain caller input and is omitted.
     """
     frames = traceback.extract_tb(error.__traceback__)
-    place = f"{Path(frames[-1].filename).name}:{frames[-1].lineno}" if frames else ""
-    return {"error": type(error).__name__, "place": place}
+    location = f"{Path(frames[-1].filename).name}:{frames[-1].lineno}" if frames else ""
+    return {"error": type(error).__name__, "place": location}
 
 
 class Detached:
-    """Runs work in the process's own nursery.
+    """Runs work in the nursery of the process.
 
-    A caller who hangs up cancels the task of its request. An at-most-once request
-    that was cancelled after it was sent could only be recorded as "unknown", though
-    its answer is on the way; so it goes on, and a repeat gets the answer.
+    The task of a request is cancelled when its caller disconnects. An at-most-once
+    request cancelled after it was sent could only be recorded as "unknown", although
+    its response is on the way. It therefore continues, and a repeated request gets
+    the response.
 
     Parameters
     ----------
     nursery : trio.Nursery
-        Lives as long as the process.
+        Nursery that stays open as long as the process.
     drain : Drain
-        Counts the work, so that a planned stop waits for it.
+        Tracks the work, so that a graceful shutdown waits for it.
     """
 
     def __init__(self, nursery: trio.Nursery, drain: Drain) -> None:
@@ -47,19 +48,19 @@
     async def run(
         self, request_id: str, work: Callable[..., Awaitable[Outcome]], *args: object
     ) -> Outcome:
-        """Run work to its end, and wait for it as long as the caller does.
+        """Run work to completion, and wait for it unless cancelled.
 
         Parameters
         ----------
         request_id : str
-            For the log.
+            Request id for the log.
         work : callable
-            Async function; called with ``args``.
+            Async function, called with ``args``.
 
         Returns
         -------
         outcome : Outcome
-            What the work returned.
+            Result of the work.
         """
         outcomes: list[Outcome] = []
         done = trio.Event()
@@ -69,9 +70,13 @@
                 try:
                     outcomes.append(await work(*args))
                 except Exception as error:
-                    # One request's fault must not end the process, and with it all
-                    # others. Whether it ran cannot be told.
-                    log.error("broken off", request=request_id, **fault_fields(error))
+                    # An error in one request must not end the process and all other
+                    # requests. It is not known whether the request was executed.
+                    log.error(
+                        "request aborted by an internal error",
+                        request=request_id,
+                        **error_fields(error),
+                    )
                     outcomes.append(Unknown(Reason.NOT_PROVEN, "internal error"))
                 finally:
                     done.set()
--- a/src/rosemaryknot/process/entry.py
+++ b/src/rosemaryknot/process/entry.py
@@ -1,4 +1,4 @@
-"""The entry process: the data plane of a node, put together."""
+"""The entry process, which runs the data plane of a node."""
 
 import random
 import time
@@ -28,14 +28,14 @@
 from rosemaryknot.request.at_most_once import AtMostOnce, ClaimPolicy
 from rosemaryknot.request.budget import EntryBudgets
 from rosemaryknot.request.generation_table import GenerationTable
-from rosemaryknot.request.http_api import CallersApi, create_app
+from rosemaryknot.request.http_api import CallerApi, create_app
+from rosemaryknot.request.model_admission import ModelAdmission
 from rosemaryknot.request.model_api import ModelApi
-from rosemaryknot.request.model_share import ModelShare
-from rosemaryknot.request.pickup import RemoteFinder, register_pickup_handlers
 from rosemaryknot.request.plain import PlainRelay
 from rosemaryknot.request.plain_api import PlainApi
 from rosemaryknot.request.relay import ModelRelay
-from rosemaryknot.request.standby import StandbyCopies
+from rosemaryknot.request.retrieval import RemoteFinder, register_retrieval_handlers
+from rosemaryknot.request.standby import StandbyReplicator
 from rosemaryknot.values.nodes import Address, Node
 from rosemaryknot.values.servers import LeavingMark, ServersPush
 from rosemaryknot.version.view import ConfigurationView
@@ -44,60 +44,61 @@
 
 CLAIM_MARGIN_S = 5.0
 CLOSE_GRACE_S = 0.2
-LATE_REQUESTS_S = 5.0
-REPORTS_S = 5.0
-HANDOVER_S = 1.0
+LATE_REQUESTS_TIMEOUT_S = 5.0
+REPORTS_TIMEOUT_S = 5.0
+HANDOVER_RESERVE_S = 1.0
 LINEAGE_BITS = 48
 
 log = logger("entry")
 
 
 class Entry:
-    """The parts of one entry process.
+    """The components of one entry process.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Validated settings.
     network : Network
-        Where connections come from and go to.
+        Accepts and opens connections.
     nursery : trio.Nursery
-        Lives as long as the process.
+        Nursery that stays open as long as the process.
     rng : random.Random
-        For ids, jitter and choices.
+        Source of ids, jitter and random choices.
     unix_time : callable
-        Seconds of the epoch.
+        Returns the Unix time in seconds.
     safeguards : Safeguards, optional
-        Tests may turn safeguards off.
+        Safeguards that tests may disable.
 
     Attributes
     ----------
     holder : ConfigurationHolder
-        Configuration in force.
+        Active configuration.
     servers : ServerTable
         Backend servers.
     handlers : Handlers
-        What to do with messages of the agent.
+        Handlers of messages from the agent.
     link : AgentLink
         Link to the agent.
     relay : ModelRelay
-        Model requests.
+        Relays model requests to engines.
     at_most_once : AtMostOnce
-        Requests that are not idempotent.
+        Executes requests that are not idempotent.
     budgets : EntryBudgets
-        What the customers may use over all instances.
-    share : ModelShare
-        What they may use of the engines, and whose turn it is.
-    standby : StandbyCopies
-        Copies of accepted model requests.
+        Budgets of the customers' limits, which apply across all instances.
+    model_admission : ModelAdmission
+        Fair sharing and queueing of the engine capacity among customers.
+    standby : StandbyReplicator
+        Replicates accepted model requests to other nodes.
     adopter : GenerationAdopter
-        Goes on with requests of other entries.
+        Continues model requests of other entries.
     drain : Drain
-        What is in flight.
+        Tracks the requests in flight.
     stop_deadline_unix_s : float
-        When the node is taken away, as seconds of the epoch; 0 where not known.
+        Unix time in seconds at which the instance is terminated; 0 if not known.
     models : ModelApi
-        Takes model requests; its ``finders`` look elsewhere for a pick-up.
+        API of model requests; its ``finders`` search other nodes for a request that
+        a caller picks up.
     """
 
     def __init__(
@@ -140,9 +141,9 @@
             new_lineage=lambda: f"{rng.getrandbits(LINEAGE_BITS):012x}",
         )
         self.relay.table = GenerationTable(
-            limits.max_generations, keep_s=limits.kept_answer_s
+            limits.max_generations, ttl_s=limits.kept_answer_s
         )
-        self.standby = StandbyCopies(
+        self.standby = StandbyReplicator(
             self.node,
             self.relay,
             self.link,
@@ -153,8 +154,10 @@
         self.adopter = GenerationAdopter(
             self.relay, self.standby, self.drain, nursery, self.handlers
         )
-        self.share = ModelShare(self.budgets, self.relay.router, self.drain)
-        register_pickup_handlers(self.handlers, self.relay.table)
+        self.model_admission = ModelAdmission(
+            self.budgets, self.relay.router, self.drain
+        )
+        register_retrieval_handlers(self.handlers, self.relay.table)
         self.plain_client = PlainClient(network)
         self.plain = PlainRelay(
             self.plain_client, self.servers, settings.zone, rng, self.health
@@ -166,7 +169,7 @@
             self.standby,
             self.relay.table,
             limits.body_timeout_s,
-            self.share,
+            self.model_admission,
         )
         self.models.finders.append(RemoteFinder(self.link).find)
         app = create_app(self.new_api(nursery, unix_time))
@@ -174,8 +177,8 @@
 
     def new_api(
         self, nursery: trio.Nursery, unix_time: Callable[[], float]
-    ) -> CallersApi:
-        """Return the parts behind the callers' interface."""
+    ) -> CallerApi:
+        """Return the API that callers use."""
         limits = self.settings.limits
         plain = PlainApi(
             self.admission,
@@ -186,7 +189,7 @@
             limits.body_timeout_s,
             self.budgets,
         )
-        return CallersApi(
+        return CallerApi(
             self.holder,
             self.drain,
             plain,
@@ -197,83 +200,86 @@
         )
 
     def new_handlers(self) -> Handlers:
-        """Return what to do with messages of the agent."""
+        """Return the handlers of messages from the agent."""
         handlers = Handlers()
         register_configuration_handlers(handlers, self.holder)
 
         @handlers.on(ServersPush)
-        async def take_servers(push: ServersPush, link: MessageLink) -> None:
+        async def handle_servers(push: ServersPush, link: MessageLink) -> None:
             self.apply_servers(push)
 
         @handlers.on(LeavingMark)
-        async def take_mark(mark: LeavingMark, link: MessageLink) -> None:
+        async def handle_mark(mark: LeavingMark, link: MessageLink) -> None:
             self.servers.apply_mark(mark)
 
         return handlers
 
     def apply_servers(self, push: ServersPush) -> None:
-        """Take over the agent's servers."""
+        """Apply the server list of the agent."""
         try:
             self.servers.apply_push(push)
         except (TypeError, ValueError, AttributeError) as error:
-            log.error("unusable list of servers", error=type(error).__name__)
+            log.error("invalid server list", error=type(error).__name__)
 
     def claim_policy(self, service: str) -> ClaimPolicy:
-        """Return the bounds of a service's at-most-once requests."""
+        """Return the time limits of the at-most-once requests of a service."""
         view = self.holder.view
-        known = None if view is None else view.services.get(service)
-        if known is None:
+        definition = None if view is None else view.services.get(service)
+        if definition is None:
             return ClaimPolicy()
         return ClaimPolicy(
-            known.timeout_s + CLAIM_MARGIN_S, known.at_most_once.answer_horizon_s
+            definition.timeout_s + CLAIM_MARGIN_S,
+            definition.at_most_once.answer_horizon_s,
         )
 
-    async def report_leaving(self) -> None:
-        """Tell the agent which servers themselves say that they are leaving.
+    async def report_draining_servers(self) -> None:
+        """Report servers that announced their own draining to the agent.
 
-        The entry is the first to hear it; the agent passes it on to its peers.
+        The entry learns of it first; the agent forwards the report to its peers.
         """
-        told: set[str] = set()
+        reported: set[str] = set()
         link = None
         revision = 0
         while True:
             revision = await self.servers.wait_changed(revision)
             if link is not self.link.link:
                 link = self.link.link
-                told.clear()
+                reported.clear()
             marks = self.servers.leaving_marks()
-            told &= {mark.instance for mark in marks}
+            reported &= {mark.instance for mark in marks}
             for mark in marks:
-                if mark.source == "server" and mark.instance not in told:
+                if mark.source == "server" and mark.instance not in reported:
                     if await self.link.send(mark):
-                        told.add(mark.instance)
+                        reported.add(mark.instance)
 
-    def note_deadline(self, deadline_unix_s: float) -> None:
-        """Note when the node is taken away, as seconds of the epoch; 0 for never."""
+    def set_stop_deadline(self, deadline_unix_s: float) -> None:
+        """Set the Unix time at which the instance is terminated; 0 for never."""
         if deadline_unix_s:
             self.stop_deadline_unix_s = deadline_unix_s
             self.has_deadline.set()
 
-    async def hand_over_in_time(self) -> None:
-        """Hand streams over once there is a deadline, which may come during a stop."""
+    async def hand_over_before_deadline(self) -> None:
+        """Hand streams over before the deadline, which may be set during a shutdown."""
         await self.has_deadline.wait()
-        left_s = self.stop_deadline_unix_s - self.unix_time() - HANDOVER_S
-        await self.standby.hand_over_long(left_s)
-        left_s = self.stop_deadline_unix_s - self.unix_time() - HANDOVER_S
-        await trio.sleep(max(0.0, left_s))
+        remaining_s = self.stop_deadline_unix_s - self.unix_time() - HANDOVER_RESERVE_S
+        await self.standby.hand_over_long(remaining_s)
+        remaining_s = self.stop_deadline_unix_s - self.unix_time() - HANDOVER_RESERVE_S
+        await trio.sleep(max(0.0, remaining_s))
         await self.standby.hand_over_all()
 
-    async def stay_not_ready(self, until_s: float) -> None:
-        """Go on refusing with an answer until a time, or the end of a notice.
+    async def stay_unready(self, deadline_s: float) -> None:
+        """Keep serving refusals until a deadline or the end of a notice period.
 
-        Without requests in flight the process would end before the balancer looks at
-        /readyz, and callers that it still sends here would find their connections
-        refused. Until it has looked they get an answer with "stopping".
+        Without requests in flight, the process would exit before the load balancer
+        checks /readyz, and callers that it still routes here would have their
+        connections refused. Until that check they get a response with "stopping".
         """
-        with trio.CancelScope(deadline=until_s):
+        with trio.CancelScope(deadline=deadline_s):
             await self.has_deadline.wait()
-            left_s = self.stop_deadline_unix_s - self.unix_time() - HANDOVER_S
-            await trio.sleep(max(0.0, left_s))
+            remaining_s = (
+                self.stop_deadline_unix_s - self.unix_time() - HANDOVER_RESERVE_S
+            )
+            await trio.sleep(max(0.0, remaining_s))
 
     async def serve(self, nursery: trio.Nursery, address: Address) -> None:
         """Start all tasks; return once callers can connect."""
@@ -282,28 +288,28 @@
         nursery.start_soon(self.at_most_once.run_reports)
         nursery.start_soon(self.standby.run)
         nursery.start_soon(self.budgets.run)
-        nursery.start_soon(self.share.queue.run)
-        nursery.start_soon(self.report_leaving)
+        nursery.start_soon(self.model_admission.queue.run)
+        nursery.start_soon(self.report_draining_servers)
         await nursery.start(self.server.serve, address)
         log.info(f"serving callers at {address}")
 
     async def stop(self) -> None:
-        """End what is in flight whole, or hand it over where time is too short."""
+        """Complete the requests in flight, or hand them over if time is too short."""
         limits = self.settings.limits
         self.drain.start()
-        not_ready_until_s = trio.current_time() + limits.not_ready_s
+        unready_deadline_s = trio.current_time() + limits.not_ready_s
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.hand_over_in_time)
+            nursery.start_soon(self.hand_over_before_deadline)
             await self.drain.wait_idle(limits.drain_timeout_s)
             nursery.cancel_scope.cancel()
         await self.standby.hand_over_all()
-        await self.stay_not_ready(not_ready_until_s)
-        # A request that is just being read is still refused with an answer, which a
-        # closed connection would not tell from a lost one.
+        await self.stay_unready(unready_deadline_s)
+        # A request that is still being read must get a refusal. If the connection were
+        # closed instead, the caller could not distinguish the request from a lost one.
         await trio.sleep(CLOSE_GRACE_S)
-        await self.drain.wait_idle(LATE_REQUESTS_S)
-        if not await self.at_most_once.reports.wait_empty(REPORTS_S):
-            log.error("results of at-most-once requests were not taken")
+        await self.drain.wait_idle(LATE_REQUESTS_TIMEOUT_S)
+        if not await self.at_most_once.reports.wait_empty(REPORTS_TIMEOUT_S):
+            log.error("agent did not accept all results of at-most-once requests")
 
 
 async def run_entry(
@@ -315,30 +321,30 @@
     safeguards: Safeguards | None = None,
     task_status: trio.TaskStatus[Entry] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run an entry until a planned stop is over.
+    """Run an entry until a graceful shutdown is complete.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings, with an address for callers.
+        Validated settings, with an address for callers.
     stop : trio.Event
-        Asks for a planned stop.
+        Set to request a graceful shutdown.
     network : Network
-        Where connections come from and go to.
+        Accepts and opens connections.
     rng : random.Random, optional
-        A seeded one in tests and replay.
+        Seeded random generator for tests and replay.
     unix_time : callable
-        Seconds of the epoch.
+        Returns the Unix time in seconds.
     safeguards : Safeguards, optional
-        Tests may turn safeguards off.
+        Safeguards that tests may disable.
     task_status : trio.TaskStatus
-        Told the entry once it serves callers.
+        Receives the entry once it serves callers.
     """
     rng = random.SystemRandom() if rng is None else rng
     async with trio.open_nursery() as nursery:
         entry = Entry(settings, network, nursery, rng, unix_time, safeguards)
         register_control_handlers(
-            entry.handlers, stop, note_deadline=entry.note_deadline
+            entry.handlers, stop, set_stop_deadline=entry.set_stop_deadline
         )
         await entry.serve(nursery, settings.listen.callers)
         task_status.started(entry)
--- a/src/rosemaryknot/process/entry_main.py
+++ b/src/rosemaryknot/process/entry_main.py
@@ -1,4 +1,4 @@
-"""Command line of the entry: the data plane of a node."""
+"""Command line of the entry, which runs the data plane of a node."""
 
 from rosemaryknot.process.command_line import (
     EXIT_CODES,
@@ -15,7 +15,7 @@
 
 
 def load_entry() -> AsyncMain:
-    """Import and return the entry's main."""
+    """Import and return the main function of the entry."""
     from rosemaryknot.process.entry import run_entry
 
     return run_entry
@@ -25,8 +25,9 @@
 def entry(file: SettingsFile, version: VersionOption = False) -> None:
     """Serve callers until SIGTERM: the data plane of a node.
 
-    The first SIGTERM or SIGINT asks for a planned stop: new requests are refused
-    with "not run" and those in flight end whole. A second one cuts the wait short.
+    The first SIGTERM or SIGINT requests a graceful shutdown: new requests are refused
+    with "not run" and those in flight complete. A second one ends the wait
+    immediately.
     """
     run_program(file, ["callers"], load_entry)
 
--- a/src/rosemaryknot/process/gateway_configurations.py
+++ b/src/rosemaryknot/process/gateway_configurations.py
@@ -22,7 +22,7 @@
 from rosemaryknot.process.metrics import counter
 from rosemaryknot.process.peers import PeerSet
 from rosemaryknot.process.store_watcher import StoreWatcher
-from rosemaryknot.values.gateway_peers import ConfigurationTold, ConfigurationWanted
+from rosemaryknot.values.gateway_peers import ConfigurationReply, ConfigurationRequest
 
 __all__ = ["GatewayConfigurations"]
 
@@ -85,10 +85,10 @@
         self.behind_since_s: float | None = None
         self.unusable = -1
         self.request_queue, self.pending_requests = trio.open_memory_channel[str](1)
-        handlers.on(ConfigurationTold)(self.handle_configuration)
-        handlers.on(ConfigurationWanted)(self.handle_request)
+        handlers.on(ConfigurationReply)(self.handle_configuration)
+        handlers.on(ConfigurationRequest)(self.handle_request)
 
-    def next_message(self) -> ConfigurationTold | None:
+    def next_message(self) -> ConfigurationReply | None:
         """Return a message for changes since the last call, or None without one."""
         document, base = self.state.document, self.last_shared
         if document is None or document is base:
@@ -96,16 +96,16 @@
         self.last_shared = document
         return self.message(document, base)
 
-    def message(self, document: Document, base: Document | None) -> ConfigurationTold:
+    def message(self, document: Document, base: Document | None) -> ConfigurationReply:
         """Return a document as a message for a node that has the base, if any."""
-        return ConfigurationTold(
+        return ConfigurationReply(
             version=document.version,
             revision=document.revision,
             base=0 if base is None else base.digest,
             packed=difference(document, base),
         )
 
-    def newer_than(self, version: int) -> ConfigurationTold | None:
+    def newer_than(self, version: int) -> ConfigurationReply | None:
         """Return the whole current document; None for a node that has that version."""
         document = self.state.document
         if document is None or document.version <= version:
@@ -139,11 +139,11 @@
     async def request_configuration(self, node: str) -> None:
         """Request a configuration newer than the current one from a gateway."""
         known = self.state.document
-        request = ConfigurationWanted(
+        request = ConfigurationRequest(
             version=self.state.version, digest=0 if known is None else known.digest
         )
         response = await self.peers.call(node, request, REQUEST_TIMEOUT_S)
-        if isinstance(response, ConfigurationTold):
+        if isinstance(response, ConfigurationReply):
             outcome = self.apply(response)
         else:
             outcome = (
@@ -159,7 +159,7 @@
             outcome=outcome,
         )
 
-    def apply(self, message: ConfigurationTold) -> str:
+    def apply(self, message: ConfigurationReply) -> str:
         """Apply a configuration from another gateway and return the outcome."""
         if message.version <= self.state.version:
             return NOT_NEWER
@@ -182,7 +182,7 @@
         return APPLIED
 
     async def handle_configuration(
-        self, message: ConfigurationTold, link: MessageLink
+        self, message: ConfigurationReply, link: MessageLink
     ) -> None:
         """Apply a version; request it from its sender if the base does not match."""
         self.state.record_peer_version(message.version)
@@ -190,11 +190,11 @@
             self.request(link.hello.name)
 
     async def handle_request(
-        self, request: ConfigurationWanted, link: MessageLink
-    ) -> ConfigurationTold:
+        self, request: ConfigurationRequest, link: MessageLink
+    ) -> ConfigurationReply:
         """Respond to a gateway that is behind."""
         document, base = self.state.document, self.last_shared
         if document is None or document.version <= request.version:
-            return ConfigurationTold(self.state.version, -1)
+            return ConfigurationReply(self.state.version, -1)
         has_base = base is not None and base.digest == request.digest
         return self.message(document, base if has_base else None)
--- a/src/rosemaryknot/process/gateway_documents.py
+++ b/src/rosemaryknot/process/gateway_documents.py
@@ -7,7 +7,7 @@
 import xxhash
 import zstandard
 
-from rosemaryknot.values.compression import CompressionError, unpacked
+from rosemaryknot.values.compression import CompressionError, decompress_frame
 
 __all__ = ["Document", "DocumentError", "difference", "rebuild"]
 
@@ -96,6 +96,6 @@
         If the bytes are not a difference from the base, or the document is too large.
     """
     try:
-        return unpacked(packed, MAX_DOCUMENT_BYTES, dictionary_of(base))
+        return decompress_frame(packed, MAX_DOCUMENT_BYTES, dictionary_of(base))
     except CompressionError as error:
         raise DocumentError(str(error)) from error
--- a/src/rosemaryknot/process/gateway_exchange.py
+++ b/src/rosemaryknot/process/gateway_exchange.py
@@ -96,7 +96,7 @@
         """Update customers' limits and remove expired state."""
         components = self.components
         now_s = trio.current_time()
-        self.record_reconnect(components.store.returned_s, components.node.name)
+        self.record_reconnect(components.store.reconnected_s, components.node.name)
         components.quota.tick(now_s, len(components.peers.nodes()) + 1)
         components.quota.remove_expired(now_s)
         components.usage.remove_expired(components.clock.now())
@@ -119,7 +119,7 @@
             version=components.state.version,
             revisions={kind: f.revision for kind, f in components.watchers.items()},
             seen={kind: f.seen for kind, f in components.watchers.items()},
-            returned_ago_s=trio.current_time() - components.store.returned_s,
+            returned_ago_s=trio.current_time() - components.store.reconnected_s,
             spent=components.quota.report(),
             runs=components.usage.report(components.clock.now()),
             demand=self.report_demand(),
@@ -267,13 +267,13 @@
             if now_s - since_s > MAX_LAG_S[kind]:
                 watcher.resync(f"{report.node} has a newer revision")
 
-    def record_reconnect(self, returned_s: float, node: str) -> None:
+    def record_reconnect(self, reconnected_s: float, node: str) -> None:
         """Resynchronize with the store if a node reached it after our pending query.
 
         An outage may have dropped this node's query without an error.
         """
         for watcher in self.components.watchers.values():
-            if watcher.has_call_since_before(returned_s):
+            if watcher.has_call_since_before(reconnected_s):
                 watcher.resync(f"{node} reached the store again")
 
     async def help(self, report: GatewayReport, now_s: float) -> None:
--- a/src/rosemaryknot/process/gateway_servers.py
+++ b/src/rosemaryknot/process/gateway_servers.py
@@ -11,7 +11,7 @@
 from rosemaryknot.process.prompt_mix import PromptMix
 from rosemaryknot.process.server_state import ServerState
 from rosemaryknot.values.gateway import ModelInput, PromptSegment, RoutedServer
-from rosemaryknot.values.incarnation import ServerIncarnation, id_of
+from rosemaryknot.values.incarnation import ServerIncarnation, server_id_from_text
 
 __all__ = ["ServerTable"]
 
@@ -107,13 +107,15 @@
             log.info(
                 f"server {entry.id} returned", service=entry.service, born=entry.born
             )
-        if entry.is_leaving and not state.has_announced_drain:
+        if entry.is_draining and not state.has_announced_drain:
             log.info(
-                f"server {entry.id} draining", left_s=entry.leaves_s, born=entry.born
+                f"server {entry.id} draining",
+                left_s=entry.shutdown_after_s,
+                born=entry.born,
             )
         state.entry = entry
         state.entry_updated_s = trio.current_time()
-        state.has_announced_drain = state.has_announced_drain or entry.is_leaving
+        state.has_announced_drain = state.has_announced_drain or entry.is_draining
         state.is_removed = False
         state.removal_deadline_s = math.inf
         return ""
@@ -171,7 +173,7 @@
         state = self.by_id.get(server_id)
         if state is None:
             return
-        if state.is_leaving:
+        if state.is_draining:
             self.drop(state)
         elif not state.is_missing:
             state.removal_deadline_s = trio.current_time() + self.missing_timeout_s
@@ -313,6 +315,6 @@
 
     def record_location(self, segment_id: str, incarnation_key: str) -> None:
         """Record a prompt segment that another node sent to a current incarnation."""
-        state = self.by_id.get(id_of(incarnation_key))
+        state = self.by_id.get(server_id_from_text(incarnation_key))
         if state is not None and state.incarnation_key == incarnation_key:
             self.cached.record(state, (PromptSegment(segment_id, 0),))
--- a/src/rosemaryknot/process/graceful_shutdown.py
+++ b/src/rosemaryknot/process/graceful_shutdown.py
@@ -6,9 +6,9 @@
 import trio
 
 from rosemaryknot.process.leases import Lease
-from rosemaryknot.process.logs import FLUSH_S, hold_lines, logger
+from rosemaryknot.process.logs import FLUSH_TIMEOUT_S, buffer_lines, logger
 from rosemaryknot.process.peers import PeerSet
-from rosemaryknot.values.gateway_answers import ANSWER_S, PlannedStop
+from rosemaryknot.values.gateway_responses import RESPONSE_RESERVE_S, ShutdownSchedule
 
 __all__ = ["GracefulShutdown"]
 
@@ -18,7 +18,7 @@
 SHUTDOWN_RESERVE_S = 0.6
 # Part of the reserve in which complete responses may still be delivered; the rest is
 # for the last log lines.
-FINAL_DELIVERY_S = SHUTDOWN_RESERVE_S - FLUSH_S - 0.1
+FINAL_DELIVERY_S = SHUTDOWN_RESERVE_S - FLUSH_TIMEOUT_S - 0.1
 # How often a shutdown compares its clock with one that includes suspension. It is a
 # fraction of the reserve, which covers a suspension that is detected this late.
 SUSPENSION_CHECK_INTERVAL_S = 0.1
@@ -68,7 +68,7 @@
         self.scope = trio.CancelScope()
 
     @property
-    def stop(self) -> PlannedStop:
+    def stop(self) -> ShutdownSchedule:
         """Times of the shutdown, used for admission; earlier after a suspension."""
         return self.listener.stop
 
@@ -77,8 +77,8 @@
         began_s = trio.current_time()
         ends_s = began_s + grace_s - SHUTDOWN_RESERVE_S
         log.info("not ready: graceful shutdown", in_flight=self.listener.busy)
-        stop = PlannedStop(began_s, began_s + NOT_READY_S, ends_s)
-        self.listener.begin_stop(stop)
+        stop = ShutdownSchedule(began_s, began_s + NOT_READY_S, ends_s)
+        self.listener.start_shutdown(stop)
         self.scope.deadline = ends_s
         try:
             with self.scope:
@@ -113,7 +113,7 @@
         self.gateway.shorten_deadlines(passed_s)
         now_s = trio.current_time()
         # Requests without a response still get one if the shutdown is over by now.
-        self.scope.deadline = max(self.stop.ends_s, now_s + 2 * ANSWER_S)
+        self.scope.deadline = max(self.stop.ends_s, now_s + 2 * RESPONSE_RESERVE_S)
         log.warning(
             "the machine was suspended during a graceful shutdown",
             suspended_s=round(passed_s, 3),
@@ -127,16 +127,16 @@
 
     async def abort_for_shutdown(self) -> None:
         """Send failures where no response can start in time, and bound the others."""
-        await self.wait_until(lambda: self.stop.ends_s - ANSWER_S)
+        await self.wait_until(lambda: self.stop.ends_s - RESPONSE_RESERVE_S)
         self.gateway.abort_for_shutdown(self.stop.ends_s + FINAL_DELIVERY_S)
 
     async def finish_requests(self) -> None:
         """Let callers use other nodes, and wait until no response is pending."""
         # A store that does not respond must not delay the callers; a lease that is not
         # released expires by itself.
-        with trio.move_on_at(self.stop.left_out_s):
+        with trio.move_on_at(self.stop.deregistered_s):
             await self.lease.release()
-        await self.wait_until(lambda: self.stop.left_out_s)
+        await self.wait_until(lambda: self.stop.deregistered_s)
         self.listener.close_idle()
         await self.listener.close()
         # Last, because the other nodes treat this node as removed from now on.
@@ -144,8 +144,8 @@
 
     def log_stopped(self, began_s: float) -> None:
         """Log the requests that the shutdown aborts, and its last line."""
-        hold_lines()
-        cuts = self.listener.owed.cut()
+        buffer_lines()
+        cuts = self.listener.pending.log_aborted()
         log.info(
             "stopped",
             cut_off=cuts.cut_off,
--- a/src/rosemaryknot/process/hub_exchange.py
+++ b/src/rosemaryknot/process/hub_exchange.py
@@ -21,7 +21,7 @@
 from rosemaryknot.process.leases import lease_candidates
 from rosemaryknot.process.limit_usage import SOURCE_EXPIRY_S
 from rosemaryknot.process.logs import logger
-from rosemaryknot.process.peer_links import relays_of
+from rosemaryknot.process.peer_links import select_relays
 from rosemaryknot.process.server_state import PeerLoad
 from rosemaryknot.process.sliding_maximum import SlidingMaximum
 from rosemaryknot.values.gateway_peers import (
@@ -133,7 +133,7 @@
     def relays(self, zone: str) -> list[str]:
         """Return the names of a zone's relays, with the hub first."""
         nodes = [*self.components.peers.nodes(), self.components.node]
-        return relays_of([n.name for n in nodes if n.zone == zone], RELAYS_PER_ZONE)
+        return select_relays([n.name for n in nodes if n.zone == zone], RELAYS_PER_ZONE)
 
     def target(self) -> str:
         """Return the name of the node to report to."""
@@ -195,7 +195,7 @@
             version=components.state.version,
             revisions={kind: f.revision for kind, f in components.watchers.items()},
             seen={kind: f.seen for kind, f in components.watchers.items()},
-            returned_ago_s=now_s - components.store.returned_s,
+            returned_ago_s=now_s - components.store.reconnected_s,
             lost=[
                 kind for kind, f in components.watchers.items() if f.is_unreachable()
             ],
--- a/src/rosemaryknot/process/limits/budget.py
+++ b/src/rosemaryknot/process/limits/budget.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from rosemaryknot.process.limits.bucket import Bucket
-from rosemaryknot.values.limits import BudgetAsk
+from rosemaryknot.values.limits import BudgetRequest
 
 __all__ = ["LEASE_S", "LOAN_DURATION_S", "Budget", "EntryLease"]
 
@@ -183,7 +183,7 @@
             tokens += request.tokens
         return tokens
 
-    def update_queue(self, ask: BudgetAsk, wait_s: float, now_s: float) -> None:
+    def update_queue(self, ask: BudgetRequest, wait_s: float, now_s: float) -> None:
         """Queue the request of an entry if it waits, otherwise remove it.
 
         Without the queue, smaller requests of other entries would take the tokens as
@@ -213,7 +213,7 @@
         borrowed = sum(loan.slots for loan in self.borrowed.values())
         return self.slots + borrowed - lent - leased
 
-    def apply_request(self, ask: BudgetAsk, now_s: float) -> EntryLease | None:
+    def apply_request(self, ask: BudgetRequest, now_s: float) -> EntryLease | None:
         """Record what an entry holds, and release the tokens that it returns.
 
         Returns
@@ -244,7 +244,7 @@
         self.demand = self.demand * decay + tokens / DEMAND_WINDOW_S
         self.demand_updated_s = now_s
 
-    def missing_tokens(self, ask: BudgetAsk, now_s: float) -> float:
+    def missing_tokens(self, ask: BudgetRequest, now_s: float) -> float:
         """Return the number of tokens that this zone lacks for a budget request."""
         if not ask.needed_tokens:
             return 0.0
@@ -254,13 +254,13 @@
             return 0.0
         return tokens_ahead + ask.needed_tokens - self.bucket.balance
 
-    def missing_slots(self, ask: BudgetAsk, now_s: float) -> int:
+    def missing_slots(self, ask: BudgetRequest, now_s: float) -> int:
         """Return the number of slots that this zone lacks for a budget request."""
         if not ask.needed_slots or math.isinf(self.slots):
             return 0
         return int(max(0, ask.needed_slots - self.free_slots(now_s)))
 
-    def grant_slots(self, lease: EntryLease, ask: BudgetAsk, now_s: float) -> int:
+    def grant_slots(self, lease: EntryLease, ask: BudgetRequest, now_s: float) -> int:
         """Grant the needed slots, plus spare ones if many are free."""
         if math.isinf(self.slots) or not ask.needed_slots:
             return 0
@@ -275,7 +275,7 @@
         lease.used_slots += granted
         return granted
 
-    def grant_tokens(self, lease: EntryLease, ask: BudgetAsk) -> float:
+    def grant_tokens(self, lease: EntryLease, ask: BudgetRequest) -> float:
         """Grant the needed tokens, plus some of the expected demand."""
         needed = ask.needed_tokens
         if needed and not self.bucket.acquire(needed, self.leased_tokens):
@@ -350,7 +350,7 @@
         if total > 0:
             self.borrowed[donor] = Loan(total, deadline_s)
 
-    def retry_after_s(self, ask: BudgetAsk, now_s: float) -> float:
+    def retry_after_s(self, ask: BudgetRequest, now_s: float) -> float:
         """Return the time until a budget request can be granted, in seconds."""
         wait_s = 0.0
         if ask.needed_tokens:
--- a/src/rosemaryknot/process/limits/owner.py
+++ b/src/rosemaryknot/process/limits/owner.py
@@ -23,7 +23,7 @@
 from rosemaryknot.process.limits.transfers import Transfers
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import counter
-from rosemaryknot.values.limits import BudgetAsk, BudgetGrant
+from rosemaryknot.values.limits import BudgetGrant, BudgetRequest
 from rosemaryknot.values.messages import Message
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.version.tables import Limit
@@ -115,7 +115,7 @@
         self.last_tick_s = clock()
         self.owners: dict[LimitKey, str] = {}
         self.owners_members: tuple[Node, ...] = ()
-        handlers.on(BudgetAsk)(self.handle_budget_request)
+        handlers.on(BudgetRequest)(self.handle_budget_request)
         self.transfers = Transfers(self, handlers)
 
     async def run(self) -> None:
@@ -216,7 +216,7 @@
     # Budget requests from entries.
 
     async def handle_budget_request(
-        self, ask: BudgetAsk, link: MessageLink
+        self, ask: BudgetRequest, link: MessageLink
     ) -> BudgetGrant:
         """Grant a budget request, or forward it to the owner if from an entry."""
         key = LimitKey(ask.customer, ask.service)
@@ -228,7 +228,7 @@
         return BudgetGrant(False, fallback_share=self.fallback_share(members))
 
     async def forward(
-        self, key: LimitKey, ask: BudgetAsk, members: ZoneMembers
+        self, key: LimitKey, ask: BudgetRequest, members: ZoneMembers
     ) -> BudgetGrant:
         """Forward the budget request of a local entry to the owner."""
         owner = self.owner(key, members)
@@ -239,7 +239,7 @@
         return BudgetGrant(False, fallback_share=self.fallback_share(members))
 
     async def grant(
-        self, key: LimitKey, ask: BudgetAsk, members: ZoneMembers
+        self, key: LimitKey, ask: BudgetRequest, members: ZoneMembers
     ) -> BudgetGrant:
         """Grant a budget request from this zone, or from what other zones can spare."""
         budget = self.budget(key, members)
@@ -258,7 +258,7 @@
         return self.build_grant(budget, lease, ask, fallback)
 
     def set_early_retry(
-        self, key: LimitKey, budget: Budget, ask: BudgetAsk, refusal: BudgetGrant
+        self, key: LimitKey, budget: Budget, ask: BudgetRequest, refusal: BudgetGrant
     ) -> None:
         """Set the retry time of a budget request that arrives before settling."""
         now_s = self.clock()
@@ -272,7 +272,7 @@
         refusal.rate = budget.bucket.rate
 
     def build_grant(
-        self, budget: Budget, lease: EntryLease, ask: BudgetAsk, fallback: float
+        self, budget: Budget, lease: EntryLease, ask: BudgetRequest, fallback: float
     ) -> BudgetGrant:
         """Return a grant of all that is needed, or of nothing."""
         now_s = self.clock()
--- a/src/rosemaryknot/process/limits/transfers.py
+++ b/src/rosemaryknot/process/limits/transfers.py
@@ -14,7 +14,7 @@
     owner_of,
 )
 from rosemaryknot.process.metrics import counter
-from rosemaryknot.values.limits import BudgetAsk, BudgetTransfer, BudgetTransferred
+from rosemaryknot.values.limits import BudgetRequest, BudgetTransfer, BudgetTransferred
 from rosemaryknot.values.nodes import Node
 
 __all__ = ["Transfers"]
@@ -66,7 +66,7 @@
     # Requests to donors.
 
     async def fetch_missing(
-        self, key: LimitKey, budget: Budget, ask: BudgetAsk
+        self, key: LimitKey, budget: Budget, ask: BudgetRequest
     ) -> None:
         """Request the budget that an entry needs and this zone lacks from others."""
         now_s = self.owner.clock()
--- a/src/rosemaryknot/process/logs.py
+++ b/src/rosemaryknot/process/logs.py
@@ -1,8 +1,9 @@
-"""Logs by structlog: short sentences with the part's prefix, then keys and values.
+"""Structured logging with structlog.
 
-Until a main calls `configure_logs`, only warnings and errors are written. A line
-never blocks, breaks or fills up the caller: see `LineWriter`, `RepeatLimit` and
-`guarded_logger`.
+A line consists of a component prefix, a short message, and keys and values. Until a
+main function calls `configure_logs`, only warnings and errors are written. Logging
+never blocks the caller, raises errors or grows without limit: see `LineWriter`,
+`guarded_logger` and `RepeatLimit`.
 """
 
 import json
@@ -17,27 +18,28 @@
 
 import structlog
 
-from rosemaryknot.process.decisions import remember_line
+from rosemaryknot.process.decisions import record_decision
 
 __all__ = [
     "LineWriter",
     "RepeatLimit",
     "configure_logs",
     "flush_lines",
-    "hold_lines",
+    "buffer_lines",
     "logger",
 ]
 
 STDERR = 2
-# A pipe that polls as writable takes this many bytes without blocking (PIPE_BUF).
+# A pipe that polls as writable accepts this many bytes without blocking (PIPE_BUF).
 MAX_LINE_BYTES = 4096
-# Lines at the end of a process that are held where they cannot be written, and how
-# long it waits for their reader then: a third of what a stop leaves of its grace.
-MAX_HELD = 300
-FLUSH_S = 0.2
-REPEATS = 10
-WINDOW_S = 10.0
-MAX_TEXTS = 500
+# Maximum number of lines buffered at the end of a process if they cannot be written,
+# and how long the process waits for their reader: a third of what a shutdown leaves of
+# its grace period.
+MAX_BUFFERED_LINES = 300
+FLUSH_TIMEOUT_S = 0.2
+MAX_REPEATS = 10
+REPEAT_WINDOW_S = 10.0
+MAX_TRACKED_TEXTS = 500
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 FIRST_KEYS = ("timestamp", "level", "part", "event")
 SECRET_KEYS = frozenset({"authorization", "cluster_key", "key", "password", "secret"})
@@ -47,19 +49,19 @@
 render_fields = structlog.processors.LogfmtRenderer(bool_as_flag=False)
 
 
-def one_line(text: str) -> str:
-    r"""Return the text without line breaks.
+def escape_line_breaks(text: str) -> str:
+    r"""Return the text with escaped line breaks.
 
     Examples
     --------
-    >>> one_line("a\nb")
+    >>> escape_line_breaks("a\nb")
     'a\\nb'
     """
     return text.replace("\\", "\\\\").replace("\n", "\\n").replace("\r", "\\r")
 
 
 def render_text(logger: Any, method: str, event: EventDict) -> str:
-    """Render a line for people.
+    """Render a line for human readers.
 
     Examples
     --------
@@ -68,20 +70,20 @@
     '12:00 info route: chose waco-a-e1 request=r1'
     """
     head = "{timestamp} {level} {part}: ".format_map(event)
-    head += one_line(str(event["event"]))
+    head += escape_line_breaks(str(event["event"]))
     rest = {key: value for key, value in event.items() if key not in FIRST_KEYS}
     fields = render_fields(logger, method, rest)
     return f"{head} {fields}" if fields else head
 
 
 def render_json(logger: Any, method: str, event: EventDict) -> str:
-    """Render a line for programs: one JSON object."""
+    """Render a line as one JSON object."""
     first = {key: event[key] for key in FIRST_KEYS}
     return json.dumps(first | dict(event), default=str)
 
 
-def hide_secrets(logger: Any, method: str, event: EventDict) -> EventDict:
-    """Replace values that may be secrets or caller text."""
+def redact_secrets(logger: Any, method: str, event: EventDict) -> EventDict:
+    """Replace values that may be secrets or caller input."""
     for key, value in event.items():
         if key in SECRET_KEYS:
             event[key] = "<hidden>"
@@ -90,33 +92,33 @@
     return event
 
 
-def add_lost(writer: Any, method: str, event: EventDict) -> EventDict:
-    """Add how many lines could not be written before this one."""
+def add_lost_count(writer: Any, method: str, event: EventDict) -> EventDict:
+    """Add the number of lines lost before this one."""
     if writer.lost:
         event["lines_lost"] = writer.lost
     return event
 
 
 class LineWriter:
-    """Write lines to a file descriptor without ever waiting for it.
+    """Writes lines to a file descriptor without blocking.
 
     Parameters
     ----------
     fd : int
         File descriptor.
     max_lines_per_s : float
-        Lines beyond it are dropped and counted.
+        Maximum rate; lines above it are dropped and counted.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
 
     Attributes
     ----------
     lost : int
-        Lines that could not be written since the last one that could.
-    held : collections.deque of bytes
-        Lines to write as soon as there is room, oldest first.
-    room : int
-        How many more may be held.
+        Number of lines lost since the last written one.
+    buffered : collections.deque of bytes
+        Lines to write as soon as possible, oldest first.
+    buffer_capacity : int
+        Number of further lines that may be buffered.
     """
 
     def __init__(
@@ -129,16 +131,16 @@
         self.max_lines_per_s = max_lines_per_s
         self.clock = clock
         self.lost = 0
-        self.held: deque[bytes] = deque()
-        self.room = 0
+        self.buffered: deque[bytes] = deque()
+        self.buffer_capacity = 0
         self.second = 0
         self.lines = 0
 
-    def is_over(self) -> bool:
-        """Count a line; tell whether it is beyond the bound of its second.
+    def exceeds_rate(self) -> bool:
+        """Count a line; return whether it exceeds the limit of the current second.
 
-        Load would otherwise grow the logs without end, and the time to write them
-        would go off the requests.
+        Otherwise the logs would grow without limit under load, and writing them would
+        take processor time from the requests.
         """
         second = int(self.clock())
         if second != self.second:
@@ -148,95 +150,96 @@
         return self.lines > self.max_lines_per_s
 
     def msg(self, line: str) -> None:
-        """Write a line, or count it as lost.
+        """Write or buffer a line, or count it as lost.
 
-        A reader that stops reading fills the pipe, and a blocking write would then
-        freeze every request of the process. So a line is written only when it fits:
-        a pipe that polls as writable has room for `MAX_LINE_BYTES`.
+        If the reader stops reading, the pipe fills up, and a blocking write would
+        suspend all requests of the process. A line is therefore written only if it
+        fits: a pipe that polls as writable accepts `MAX_LINE_BYTES`.
         """
         data = line.encode(errors="replace")[: MAX_LINE_BYTES - 1] + b"\n"
-        is_over = self.is_over()
-        self.write_held()
-        if not self.held and not is_over and self.write(data):
+        is_over_rate = self.exceeds_rate()
+        self.write_buffered()
+        if not self.buffered and not is_over_rate and self.write(data):
             self.lost = 0
-        elif self.room:
-            self.room -= 1
-            self.held.append(data)
+        elif self.buffer_capacity:
+            self.buffer_capacity -= 1
+            self.buffered.append(data)
             self.lost = 0
         else:
             self.lost += 1
 
     def write(self, data: bytes) -> bool:
-        """Write a line where it fits; tell whether it did."""
+        """Write a line if it fits; return whether it was written."""
         try:
-            if not self.writable():
+            if not self.is_writable():
                 return False
             os.write(self.fd, data)
         except OSError:
             return False
         return True
 
-    def write_held(self) -> None:
-        """Write the lines that are held, as far as they fit."""
-        while self.held and self.write(self.held[0]):
-            self.held.popleft()
+    def write_buffered(self) -> None:
+        """Write as many buffered lines as fit."""
+        while self.buffered and self.write(self.buffered[0]):
+            self.buffered.popleft()
 
-    def hold(self) -> None:
-        """Hold the next lines that cannot be written, in place of dropping them.
+    def enable_buffering(self) -> None:
+        """Buffer further lines that cannot be written instead of dropping them.
 
-        The last lines of a process tell what it left undone. Dropped, they would be
-        counted by nobody, since no line follows; a bound on them is enough, since
-        little is logged after them.
+        The last lines of a process report what it left incomplete. If they were
+        dropped, no later line would report their number. A limit on the buffered lines
+        suffices, since few lines follow.
         """
-        self.room = MAX_HELD
+        self.buffer_capacity = MAX_BUFFERED_LINES
 
     def flush(self) -> None:
-        """Write the lines that are held, waiting a moment for their reader.
+        """Write the buffered lines, waiting up to `FLUSH_TIMEOUT_S` for the reader.
 
-        It blocks, so nothing else may be at work in the process.
+        This blocks, so no other work may be running in the process.
         """
-        until_s = time.monotonic() + FLUSH_S
-        self.write_held()
-        while self.held and (left_s := until_s - time.monotonic()) > 0:
-            if not self.writable(left_s) or not self.write(self.held[0]):
+        deadline_s = time.monotonic() + FLUSH_TIMEOUT_S
+        self.write_buffered()
+        while self.buffered and (remaining_s := deadline_s - time.monotonic()) > 0:
+            if not self.is_writable(remaining_s) or not self.write(self.buffered[0]):
                 return
-            self.held.popleft()
+            self.buffered.popleft()
 
     debug = info = warning = error = critical = exception = msg
 
-    def writable(self, wait_s: float = 0.0) -> bool:
-        """Tell whether a line can be written without waiting, or after a wait."""
+    def is_writable(self, wait_s: float = 0.0) -> bool:
+        """Return whether a line can be written within the given time."""
         poll = select.poll()
         poll.register(self.fd, select.POLLOUT)
         return bool(poll.poll(wait_s * 1000))
 
 
 @dataclass(slots=True)
-class Repeats:
-    """How often a text was logged in its window."""
+class RepeatCount:
+    """Number of times that a text was logged in its window."""
 
     since_s: float
     count: int = 0
 
 
 class RepeatLimit:
-    """Leave out lines that repeat, and say how many were left out.
+    """Drops repeated lines and reports how many were dropped.
 
-    A fault that every request meets would otherwise write a line for each and hide
-    all others. An info line with a request id stays whatever its number: it is that
-    request's decision, which operators look for.
+    An error that affects every request would otherwise write a line for each of them
+    and hide all other lines. Info lines with a request id are never dropped: they are
+    the decisions about that request, which operators search for.
 
     Parameters
     ----------
     render : callable
-        Renders the line that tells the number left out.
+        Renders the line that reports the number of dropped lines.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
 
     Attributes
     ----------
     texts : collections.OrderedDict
-        Repeats by part and text, oldest window first; at most `MAX_TEXTS`.
+        Counts by component and text, oldest window first; at most
+        `MAX_TRACKED_TEXTS`.
     """
 
     def __init__(
@@ -246,52 +249,55 @@
     ) -> None:
         self.render = render
         self.clock = clock
-        self.texts: OrderedDict[tuple[str, str], Repeats] = OrderedDict()
+        self.texts: OrderedDict[tuple[str, str], RepeatCount] = OrderedDict()
 
     def __call__(self, writer: Any, method: str, event: EventDict) -> EventDict:
-        """Pass the line on, or drop it."""
+        """Return the line or drop it."""
         now = self.clock()
         self.close_windows(writer, now, event["timestamp"])
         if event["level"] == "info" and "request" in event:
             return event
         text = (event["part"], str(event["event"]))
-        repeats = self.texts.setdefault(text, Repeats(now))
+        repeats = self.texts.setdefault(text, RepeatCount(now))
         repeats.count += 1
-        if repeats.count > REPEATS:
+        if repeats.count > MAX_REPEATS:
             raise structlog.DropEvent
         return event
 
     def close_windows(self, writer: Any, now: float, timestamp: str) -> None:
-        """End the windows that are over, and as many more as the bound asks."""
+        """Close expired windows, and further ones while there are too many texts."""
         while self.texts:
             (part, text), repeats = next(iter(self.texts.items()))
-            if now - repeats.since_s < WINDOW_S and len(self.texts) < MAX_TEXTS:
+            if (
+                now - repeats.since_s < REPEAT_WINDOW_S
+                and len(self.texts) < MAX_TRACKED_TEXTS
+            ):
                 return
             del self.texts[part, text]
-            if repeats.count > REPEATS:
+            if repeats.count > MAX_REPEATS:
                 summary = {
                     "timestamp": timestamp,
                     "level": "warning",
                     "part": part,
-                    "event": f"left out repeats of: {text}",
-                    "left_out": repeats.count - REPEATS,
+                    "event": f"suppressed repeats of: {text}",
+                    "left_out": repeats.count - MAX_REPEATS,
                     "window_s": round(now - repeats.since_s, 1),
                 }
                 writer.msg(self.render(writer, "warning", summary))
 
 
 def guarded_logger(level: int) -> type:
-    """Return a logger class for a level whose calls never raise."""
+    """Return a logger class of a level whose calls never raise an error."""
 
     class GuardedLogger(structlog.make_filtering_bound_logger(level)):
-        """Logger that drops a line it cannot render."""
+        """Logger that drops lines that cannot be rendered."""
 
         def _proxy_to_logger(self, *args: Any, **fields: Any) -> Any:
             try:
                 return super()._proxy_to_logger(*args, **fields)
             except Exception:
-                # A value whose text cannot be made must not end the request that
-                # logs it; the counter in the writer tells that one is missing.
+                # A value that cannot be converted to text must not abort the request
+                # that logs it. The writer counts the missing line.
                 self._logger.lost += 1
                 return None
 
@@ -304,18 +310,18 @@
     fd: int = STDERR,
     max_lines_per_s: float = math.inf,
 ) -> None:
-    """Set up the logs of this process.
+    """Configure the logs of this process.
 
     Parameters
     ----------
     format : str
-        ``text`` for people or ``json`` for programs.
+        ``text`` for human readers or ``json`` for programs.
     level : str
-        Lowest level that is written: debug, info, warning or error.
+        Minimum level that is written: debug, info, warning or error.
     fd : int
-        File descriptor that takes the lines.
+        File descriptor to write to.
     max_lines_per_s : float
-        Lines beyond it are dropped and counted.
+        Maximum rate; lines above it are dropped and counted.
     """
     render = render_json if format == "json" else render_text
     writer = LineWriter(fd, max_lines_per_s)
@@ -323,10 +329,10 @@
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            remember_line,
+            record_decision,
             RepeatLimit(render),
-            hide_secrets,
-            add_lost,
+            redact_secrets,
+            add_lost_count,
             structlog.processors.format_exc_info,
             render,
         ],
@@ -337,12 +343,12 @@
 
 
 def logger(part: str) -> Any:
-    """Return the logger of a part.
+    """Return the logger of a component.
 
     Parameters
     ----------
     part : str
-        Fixed prefix of its lines, such as ``route``.
+        Name of the component, the prefix of its lines, such as ``route``.
 
     Returns
     -------
@@ -352,18 +358,18 @@
     return structlog.get_logger(part=part)
 
 
-def hold_lines() -> None:
-    """Hold the lines that cannot be written from now on; see `LineWriter.hold`."""
-    current_writer().hold()
+def buffer_lines() -> None:
+    """Buffer lines that cannot be written; see `LineWriter.enable_buffering`."""
+    current_line_writer().enable_buffering()
 
 
 def flush_lines() -> None:
-    """Write what is held at the end of a process; see `LineWriter.flush`."""
-    current_writer().flush()
+    """Write the buffered lines at the end of a process; see `LineWriter.flush`."""
+    current_line_writer().flush()
 
 
-def current_writer() -> LineWriter:
-    """Return the writer of this process's lines."""
+def current_line_writer() -> LineWriter:
+    """Return the line writer of this process."""
     return structlog.get_config()["logger_factory"]()
 
 
--- a/src/rosemaryknot/process/metrics.py
+++ b/src/rosemaryknot/process/metrics.py
@@ -1,7 +1,7 @@
 """Metrics of a process in one aioprometheus registry.
 
-A metric is declared once and found again under its name, so that every module can
-declare what it counts. A failing metric is dropped and never reaches the caller.
+Each module declares its own metrics; declaring the same name again returns the same
+object. An update that fails is dropped and raises no error in the caller.
 """
 
 from collections.abc import Sequence
@@ -25,8 +25,8 @@
 
 PREFIX = "rosemaryknot_"
 LATENCY_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30)
-# A label that follows caller input would grow the registry without end and make
-# each scrape slower; series beyond this number are dropped, the known ones go on.
+# A label derived from caller input would grow the registry without limit and make each
+# scrape slower. Series beyond this number are dropped; existing ones are updated.
 MAX_SERIES = 1000
 
 REGISTRY = Registry()
@@ -38,7 +38,7 @@
 
 
 class Metric:
-    """A metric whose updates never raise.
+    """A metric whose updates never raise an error.
 
     Parameters
     ----------
@@ -57,21 +57,21 @@
         self.collector = collector
 
     def update(self, method: Any, labels: dict[str, str], value: float) -> None:
-        """Change a series, or log why it cannot be changed."""
+        """Update a series, or log why the update failed."""
         try:
-            known = self.collector.values
-            if labels not in known and len(known) >= MAX_SERIES:
+            series = self.collector.values
+            if labels not in series and len(series) >= MAX_SERIES:
                 raise ValueError("too many series")
             method(labels, value)
         except Exception as error:
             log.warning(
-                "dropped an update",
+                "dropped metric update",
                 metric=self.collector.name,
                 error=type(error).__name__,
             )
 
     def value(self, **labels: str) -> Any:
-        """Return the value of a series, 0 where it has none."""
+        """Return the value of a series, or 0 if the series does not exist."""
         try:
             return self.collector.get(labels)
         except KeyError:
@@ -79,7 +79,7 @@
 
 
 class CounterMetric(Metric):
-    """A number that only rises."""
+    """A value that only increases."""
 
     __slots__ = ()
 
@@ -89,7 +89,7 @@
 
 
 class GaugeMetric(Metric):
-    """A number that rises and falls."""
+    """A value that increases and decreases."""
 
     __slots__ = ()
 
@@ -103,7 +103,7 @@
 
 
 class HistogramMetric(Metric):
-    """Counts of observations by size."""
+    """Counts of observations by value."""
 
     __slots__ = ()
 
@@ -115,15 +115,15 @@
 def declare(
     cls: type[MetricType], collector_class: Any, name: str, doc: str, **options
 ):
-    """Return the metric of this name, made at the first call."""
+    """Return the metric of this name, created by the first call."""
     name = PREFIX + name.removeprefix(PREFIX)
-    known = METRICS.get(name)
-    if known is None:
+    metric = METRICS.get(name)
+    if metric is None:
         collector = collector_class(name, doc, registry=REGISTRY, **options)
-        known = METRICS[name] = cls(collector)
-    if not isinstance(known, cls):
-        raise ValueError(f"metric {name} is of another kind")
-    return known
+        metric = METRICS[name] = cls(collector)
+    if not isinstance(metric, cls):
+        raise ValueError(f"metric {name} is already declared with another type")
+    return metric
 
 
 def counter(name: str, doc: str) -> CounterMetric:
@@ -134,12 +134,12 @@
     name : str
         Name; the prefix ``rosemaryknot_`` is added.
     doc : str
-        One sentence for the collector.
+        Help text of the metric.
 
     Returns
     -------
     metric : CounterMetric
-        The same object at each call with this name.
+        The same object for each call with this name.
 
     Examples
     --------
@@ -166,21 +166,21 @@
     name : str
         Name, with its unit.
     doc : str
-        One sentence for the collector.
+        Help text of the metric.
     buckets : sequence of float
         Upper bounds in the unit of the name; infinity is added.
 
     Returns
     -------
     metric : HistogramMetric
-        The same object at each call with this name.
+        The same object for each call with this name.
     """
     bounds = (*buckets, float("inf"))
     return declare(HistogramMetric, Histogram, name, doc, buckets=bounds)
 
 
 def render_metrics() -> tuple[bytes, str]:
-    """Render all metrics for the collector.
+    """Render all metrics in the exposition format.
 
     Returns
     -------
@@ -192,6 +192,6 @@
     try:
         body, headers = render(REGISTRY, [])
     except Exception as error:
-        log.error("cannot render", error=type(error).__name__)
+        log.error("rendering the metrics failed", error=type(error).__name__)
         return b"", "text/plain"
     return body, headers["Content-Type"]
--- a/src/rosemaryknot/process/node.py
+++ b/src/rosemaryknot/process/node.py
@@ -12,8 +12,8 @@
 from rosemaryknot.connection.gateway_server import ServerPool
 from rosemaryknot.connection.links import Handlers
 from rosemaryknot.connection.network import Network
-from rosemaryknot.connection.owed_answers import OWED
 from rosemaryknot.connection.pages import Page, PageServer
+from rosemaryknot.connection.pending_responses import PENDING_RESPONSES
 from rosemaryknot.process.attempt_budget import AttemptBudget
 from rosemaryknot.process.change_distributor import ChangeDistributor
 from rosemaryknot.process.duty_components import DutyComponents
@@ -38,7 +38,7 @@
 from rosemaryknot.process.usage_tracker import UsageTracker
 from rosemaryknot.request.gateway import Gateway, GatewayComponents
 from rosemaryknot.values.duties import DutyCalls
-from rosemaryknot.values.gateway_answers import GatewayWire
+from rosemaryknot.values.gateway_responses import GatewayWire
 from rosemaryknot.values.nodes import Node
 
 __all__ = ["Adapter", "GatewayNode", "run_node"]
@@ -380,7 +380,7 @@
 
     def metrics_page(self) -> Page:
         """Return the response to the metrics collector."""
-        OWED.set(len(self.listener.state.owed.all))
+        PENDING_RESPONSES.set(len(self.listener.state.pending.all))
         self.peer_metrics.update()
         body, content_type = render_metrics()
         return Page(READY_STATUS, body, content_type)
@@ -390,7 +390,7 @@
         while True:
             await trio.sleep(CLEANUP_INTERVAL_S)
             for incarnation in self.state.servers.pop_replaced():
-                self.pool.note_over(incarnation)
+                self.pool.record_replaced(incarnation)
             await self.pool.clean_up()
             for incarnation in self.state.servers.clean_up():
                 await self.pool.close_all(incarnation)
--- a/src/rosemaryknot/process/node_settings.py
+++ b/src/rosemaryknot/process/node_settings.py
@@ -14,7 +14,7 @@
     Name,
     Seconds,
     SettingsError,
-    read_checked,
+    read_validated,
 )
 from rosemaryknot.values.nodes import Address
 
@@ -208,4 +208,4 @@
     settings : NodeSettings or list of SettingsError
         The settings, or all errors found.
     """
-    return read_checked(path, ADAPTER)
+    return read_validated(path, ADAPTER)
