--- a/src/rosemaryknot/process/peer_dialler.py
+++ b/src/rosemaryknot/process/peer_dialler.py
@@ -1,4 +1,4 @@
-"""Opening and accepting of links, with what this node says of itself."""
+"""Opening and accepting of links between agents and from entries."""
 
 from collections import Counter
 
@@ -27,23 +27,23 @@
 
 
 class PeerDialler:
-    """Makes links of connections, and turns away those that may not stay.
+    """Opens and accepts links, and rejects inadmissible ones.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Opens connections.
     key : bytes
         Cluster key.
     table : PeerTable
-        What is known of the nodes, this one included.
+        Membership records, including that of this node.
     handlers : Handlers
-        What to do with messages.
+        Message handlers of the links.
 
     Attributes
     ----------
     traffic : Traffic
-        Messages and bytes of all links by kind.
+        Messages and bytes of all links by message kind.
     counters : Counter
         ``dials``, ``dials_failed``, ``hellos_refused``.
     """
@@ -59,61 +59,61 @@
         self.counters: Counter[str] = Counter()
 
     def hello(self) -> Hello:
-        """Return what this node says of itself."""
+        """Return the hello message of this node."""
         own = self.table.own
         return Hello(
             own.name, own.zone, own.incarnation, ROLE, b"", address=own.address
         )
 
     async def dial(self, address: Address) -> MessageLink | None:
-        """Open a link to another agent; None where it does not come about."""
+        """Open a link to another agent; return None on failure."""
         self.counters["dials"] += 1
         try:
             stream = await self.network.dial(address)
         except OSError:
             self.counters["dials_failed"] += 1
             return None
-        link = await self.link_of(stream, is_dialled=True)
-        if link is not None and self.admits(link):
+        link = await self.establish_link(stream, is_dialled=True)
+        if link is not None and self.is_admissible(link):
             return link
         await trio.aclose_forcefully(stream)
         return None
 
     async def accept(self, stream: trio.abc.HalfCloseableStream) -> MessageLink | None:
-        """Make a link of a connection of an agent or an entry, or return None."""
-        link = await self.link_of(stream, is_dialled=False)
+        """Accept a link from an agent or an entry; return None if it is rejected."""
+        link = await self.establish_link(stream, is_dialled=False)
         if link is None or link.hello.role == ENTRY_ROLE:
             return link
         if link.hello.role != ROLE:
-            self.refuse("unknown role")
+            self.record_refused_link("unknown role")
             return None
-        return link if self.admits(link) else None
+        return link if self.is_admissible(link) else None
 
-    async def link_of(
+    async def establish_link(
         self, stream: trio.abc.HalfCloseableStream, is_dialled: bool
     ) -> MessageLink | None:
-        """Exchange hellos; None where the other end does not prove the key."""
-        make = open_link if is_dialled else accept_link
+        """Exchange hellos; return None if the other end fails to prove the key."""
+        handshake = open_link if is_dialled else accept_link
         try:
-            return await make(
+            return await handshake(
                 stream, self.key, self.hello(), self.handlers, self.traffic
             )
         except LinkClosed as error:
-            self.refuse(str(error))
+            self.record_refused_link(str(error))
             return None
 
-    def admits(self, link: MessageLink) -> bool:
-        """Tell whether a link may stay: not to oneself, not of a dead process."""
+    def is_admissible(self, link: MessageLink) -> bool:
+        """Return whether a link leads to another node's current process."""
         node, own = link.hello.node, self.table.own
         if node.name == own.name:
-            self.table.newer_self += node.incarnation > own.incarnation
+            self.table.newer_incarnations_seen += node.incarnation > own.incarnation
             return False
-        if self.table.is_older(node):
-            self.refuse(f"older incarnation of {node.name}")
+        if self.table.has_newer_incarnation(node):
+            self.record_refused_link(f"older incarnation of {node.name}")
             return False
         return True
 
-    def refuse(self, reason: str) -> None:
-        """Count a link that did not come about."""
+    def record_refused_link(self, reason: str) -> None:
+        """Count and log a rejected link."""
         self.counters["hellos_refused"] += 1
-        log.warning("refused a link", reason=reason)
+        log.warning("rejected link", reason=reason)
--- a/src/rosemaryknot/process/peer_forwarding.py
+++ b/src/rosemaryknot/process/peer_forwarding.py
@@ -1,4 +1,4 @@
-"""Calls to nodes without a link of their own: other nodes pass them on."""
+"""Forwarding of messages through other nodes to nodes without a direct link."""
 
 import math
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 import trio
 
 from rosemaryknot.connection.links import CallFailed, Handlers, Hello, MessageLink
-from rosemaryknot.process.peer_links import LinkPlan, routes
+from rosemaryknot.process.peer_links import LinkPlan, forwarding_candidates
 from rosemaryknot.values.messages import (
     Message,
     MessageError,
@@ -26,21 +26,21 @@
 
 
 class RelayedLink:
-    """What a handler sees as the link of a message that was passed on.
+    """Stands in for the link in the handler of a forwarded message.
 
     Parameters
     ----------
     source : Node
-        Who sent the message first.
+        Original sender of the message.
     forwarder : Forwarder
-        Passes answers and calls back.
+        Forwards messages and calls back to the sender.
 
     Attributes
     ----------
     hello : Hello
-        Names the sender, as on a link of its own.
+        Identifies the sender, as on a direct link.
     is_closed : bool
-        Always False: a relayed sender has no connection that could end.
+        Always False: a relayed sender has no connection that could close.
     """
 
     def __init__(self, source: Node, forwarder: "Forwarder") -> None:
@@ -58,27 +58,27 @@
 
 
 class Forwarder:
-    """Passes messages on, and finds the nodes that may do so.
+    """Forwards messages, and selects the nodes to forward through.
 
     Parameters
     ----------
     own : Node
         This node.
     handlers : Handlers
-        What this node does with messages that reach it.
+        Handlers for messages addressed to this node.
     best_link : callable
-        Gives the link to a node by name, or None.
+        Returns the link to a node by name, or None.
     linked : callable
-        Gives the nodes with a usable link.
-    everybody : callable
-        Gives all live nodes.
+        Returns the nodes with a usable link.
+    live_nodes : callable
+        Returns all live nodes.
     plan : LinkPlan
-        How many links nodes keep.
+        Link topology parameters.
 
     Attributes
     ----------
     passed_on : int
-        Messages of others that this node passed on.
+        Number of messages of other nodes that this node forwarded.
     """
 
     def __init__(
@@ -87,49 +87,51 @@
         handlers: Handlers,
         best_link: BestLink,
         linked: Callable[[], list[Node]],
-        everybody: Callable[[], list[Node]],
+        live_nodes: Callable[[], list[Node]],
         plan: LinkPlan,
     ) -> None:
         self.own = own
         self.handlers = handlers
         self.best_link = best_link
         self.linked = linked
-        self.everybody = everybody
+        self.live_nodes = live_nodes
         self.plan = plan
         self.passed_on = 0
         handlers.on(PeerForward)(self.handle)
 
     def next_hops(
-        self, target: str, path: list[str], around: bool = False
+        self, target: str, path: list[str], skip_direct: bool = False
     ) -> list[MessageLink]:
-        """Return the links to try, best first, the direct one only if wanted."""
-        direct = None if around else self.best_link(target)
+        """Return the links to attempt, best first; direct unless ``skip_direct``."""
+        direct = None if skip_direct else self.best_link(target)
         hops = [] if direct is None else [direct]
-        node = next((n for n in self.everybody() if n.name == target), None)
+        node = next((n for n in self.live_nodes() if n.name == target), None)
         if node is None or len(path) >= MAX_HOPS - 1:
             return hops
         linked = [n for n in self.linked() if n.name not in path]
-        names = routes(self.own, node, linked, self.everybody(), self.plan)
+        names = forwarding_candidates(
+            self.own, node, linked, self.live_nodes(), self.plan
+        )
         links = [self.best_link(name) for name in names[:MAX_ROUTES]]
         return hops + [link for link in links if link is not None]
 
     def envelope(self, target: str, value: Message, wants_answer: bool) -> PeerForward:
-        """Return a message of this node, ready to be passed on."""
+        """Wrap a message of this node for forwarding."""
         source = [self.own.name, self.own.zone, self.own.incarnation]
         payload = encode_message(value)
         return PeerForward(target, source, [], payload, 0.0, wants_answer)
 
     async def send(self, target: str, value: Message) -> bool:
-        """Send a message that needs no answer; see `MessageLink.send`."""
-        return await self.send_on(self.envelope(target, value, wants_answer=False))
+        """Send a message that needs no response; see `MessageLink.send`."""
+        return await self.forward_send(self.envelope(target, value, wants_answer=False))
 
     async def call(
-        self, target: str, value: Message, timeout_s: float, around: bool = False
+        self, target: str, value: Message, timeout_s: float, skip_direct: bool = False
     ) -> Message | CallFailed:
-        """Call a node, past the link to it if wanted; see `MessageLink.call`."""
+        """Call a node, optionally bypassing the direct link; see `MessageLink.call`."""
         envelope = self.envelope(target, value, wants_answer=True)
         envelope.timeout_s = timeout_s
-        outcome = await self.call_on(envelope, around)
+        outcome = await self.forward_call(envelope, skip_direct)
         if isinstance(outcome, CallFailed):
             return outcome
         try:
@@ -137,8 +139,8 @@
         except MessageError:
             return CallFailed("unreadable", maybe_handled=True)
 
-    async def send_on(self, envelope: PeerForward) -> bool:
-        """Pass a message on towards its target."""
+    async def forward_send(self, envelope: PeerForward) -> bool:
+        """Forward a message towards its target."""
         hops = self.next_hops(envelope.target, envelope.path)
         envelope.path = [*envelope.path, self.own.name]
         for link in hops:
@@ -146,43 +148,43 @@
                 return True
         return False
 
-    async def call_on(
-        self, envelope: PeerForward, around: bool = False
+    async def forward_call(
+        self, envelope: PeerForward, skip_direct: bool = False
     ) -> bytes | CallFailed:
-        """Pass a call on towards its target, and return its encoded answer."""
+        """Forward a call towards its target and return the encoded response."""
         deadline_s = trio.current_time() + envelope.timeout_s
-        hops = self.next_hops(envelope.target, envelope.path, around)
+        hops = self.next_hops(envelope.target, envelope.path, skip_direct)
         envelope.path = [*envelope.path, self.own.name]
         for link in hops:
-            # The first way may have used the time up. A wait below zero is no wait that
-            # trio takes, and its error would end the process.
+            # The first route may have used up the timeout. Trio raises an error for a
+            # negative timeout, which would end the process.
             envelope.timeout_s = deadline_s - trio.current_time()
             if envelope.timeout_s <= 0:
                 return CallFailed("timeout", maybe_handled=False)
-            outcome = opened(await link.call(envelope, envelope.timeout_s))
-            # Another way only if it is certain that the target has not seen the
-            # call: otherwise one call would be handled twice.
+            outcome = unwrap_response(await link.call(envelope, envelope.timeout_s))
+            # Attempt another route only if the target certainly did not receive the
+            # call; otherwise it could be handled twice.
             if not isinstance(outcome, CallFailed) or outcome.maybe_handled:
                 return outcome
         return CallFailed(UNREACHABLE, maybe_handled=False)
 
     async def handle(self, envelope: PeerForward, link: MessageLink) -> Message | None:
-        """Handle a message that another node passed on to here."""
+        """Handle or forward a message that another node forwarded to this one."""
         if not is_well_formed(envelope):
             return PeerForwarded(reason="unreadable")
         if envelope.target == self.own.name:
-            return await self.handle_here(envelope)
+            return await self.handle_locally(envelope)
         self.passed_on += 1
         if not envelope.wants_answer:
-            await self.send_on(envelope)
+            await self.forward_send(envelope)
             return None
-        outcome = await self.call_on(envelope)
+        outcome = await self.forward_call(envelope)
         if isinstance(outcome, CallFailed):
             return PeerForwarded(b"", outcome.reason, outcome.maybe_handled)
         return PeerForwarded(outcome)
 
-    async def handle_here(self, envelope: PeerForward) -> PeerForwarded:
-        """Handle a message whose target is this node."""
+    async def handle_locally(self, envelope: PeerForward) -> PeerForwarded:
+        """Handle a forwarded message addressed to this node."""
         try:
             value, _, _ = decode_message(envelope.payload)
         except MessageError:
@@ -190,25 +192,25 @@
         handler = self.handlers.by_type.get(type(value))
         if handler is None:
             return PeerForwarded(reason="unsupported")
-        answer = await handler(value, RelayedLink(Node(*envelope.source), self))
-        if answer is None:
+        response = await handler(value, RelayedLink(Node(*envelope.source), self))
+        if response is None:
             return PeerForwarded(reason="no answer", maybe_handled=True)
-        return PeerForwarded(encode_message(answer))
+        return PeerForwarded(encode_message(response))
 
 
-def opened(answer: Message | CallFailed) -> bytes | CallFailed:
-    """Return what is in the answer of a relay."""
-    if isinstance(answer, CallFailed):
-        return answer
-    if not isinstance(answer, PeerForwarded):
+def unwrap_response(response: Message | CallFailed) -> bytes | CallFailed:
+    """Return the payload or failure that the response of a relay contains."""
+    if isinstance(response, CallFailed):
+        return response
+    if not isinstance(response, PeerForwarded):
         return CallFailed("unreadable", maybe_handled=True)
-    if answer.reason:
-        return CallFailed(answer.reason, answer.maybe_handled)
-    return answer.payload
+    if response.reason:
+        return CallFailed(response.reason, response.maybe_handled)
+    return response.payload
 
 
 def is_well_formed(envelope: PeerForward) -> bool:
-    """Tell whether the fields of an envelope have their types."""
+    """Return whether the fields of an envelope have the expected types."""
     source = envelope.source
     return (
         isinstance(envelope.target, str)
--- a/src/rosemaryknot/process/peer_gossip.py
+++ b/src/rosemaryknot/process/peer_gossip.py
@@ -71,7 +71,7 @@
 
     async def gossip(self) -> None:
         """Send changed records over every link."""
-        records = self.table.take_unspread()
+        records = self.table.take_pending_gossip()
         if records:
             await self.send_all(PeerRecords(self.fields_of(records)))
 
--- a/src/rosemaryknot/process/peer_links.py
+++ b/src/rosemaryknot/process/peer_links.py
@@ -1,4 +1,4 @@
-"""Which nodes a node keeps links to, and whom it asks to pass a message on."""
+"""Link topology: which nodes to link to and which to forward messages through."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -9,21 +9,22 @@
 
 from rosemaryknot.values.nodes import Node
 
-__all__ = ["LinkPlan", "link_targets", "relays_of", "routes"]
+__all__ = ["LinkPlan", "select_link_targets", "select_relays", "forwarding_candidates"]
 
 
 @dataclass(slots=True)
 class LinkPlan:
-    """How many links nodes keep.
+    """Parameters of the link topology.
 
     Attributes
     ----------
     full_mesh_nodes : int
-        Up to this many nodes everybody links to everybody.
+        Maximum number of nodes that form a full mesh.
     relays_per_zone : int
-        Nodes of a zone that link to the whole zone and to other zones' relays.
+        Number of nodes of a zone that link to the whole zone and to the relays of
+        other zones.
     neighbours : int
-        Links within the zone of a node that is no relay, besides those to relays.
+        Links of a non-relay node within its zone, in addition to those to relays.
     """
 
     full_mesh_nodes: int = 24
@@ -31,25 +32,25 @@
     neighbours: int = 2
 
 
-def relays_of(names: Iterable[str], count: int) -> list[str]:
-    """Return the relays of a zone: the names of least hash.
+def select_relays(names: Iterable[str], count: int) -> list[str]:
+    """Return the relays of a zone: the names with the lowest hashes.
 
-    Every node works them out for itself. Views that differ cost some more links or
-    a hop, never a wrong answer.
+    Each node computes them independently. Different views of the membership cost
+    additional links or a hop, but never cause an incorrect result.
     """
-    return list(least_hashed(tuple(names), count))
+    return list(lowest_hashes(tuple(names), count))
 
 
 @lru_cache(maxsize=256)
-def least_hashed(names: tuple[str, ...], count: int) -> tuple[str, ...]:
-    """Return the names of least hash; each message passed on asks for them."""
+def lowest_hashes(names: tuple[str, ...], count: int) -> tuple[str, ...]:
+    """Return the names with the lowest hashes; cached for message forwarding."""
     ranked = sorted(
         names, key=lambda name: (xxhash.xxh64_intdigest(name.encode()), name)
     )
     return tuple(ranked[:count])
 
 
-def by_zone(nodes: Iterable[Node]) -> dict[str, list[str]]:
+def names_by_zone(nodes: Iterable[Node]) -> dict[str, list[str]]:
     """Return the names of the nodes of each zone."""
     zones: dict[str, list[str]] = defaultdict(list)
     for node in nodes:
@@ -57,15 +58,15 @@
     return zones
 
 
-def neighbours_of(name: str, names: Iterable[str], count: int) -> set[str]:
-    """Return the next names after one on the ring of all, in order of name."""
+def ring_successors(name: str, names: Iterable[str], count: int) -> set[str]:
+    """Return the names that follow a name on the ring of sorted names."""
     ring = sorted(names)
     start = ring.index(name)
     return {ring[(start + step) % len(ring)] for step in range(1, count + 1)} - {name}
 
 
-def link_targets(own: Node, others: Iterable[Node], plan: LinkPlan) -> set[str]:
-    """Return the names of the nodes that a node links to.
+def select_link_targets(own: Node, others: Iterable[Node], plan: LinkPlan) -> set[str]:
+    """Return the names of the nodes that a node should link to.
 
     Parameters
     ----------
@@ -74,66 +75,67 @@
     others : iterable of Node
         The other live nodes.
     plan : LinkPlan
-        How many links to keep.
+        Link topology parameters.
 
     Returns
     -------
     names : set of str
-        Nodes to keep links to.
+        Names of the nodes to link to.
 
     Examples
     --------
     >>> nodes = [Node(f"a{n}", "a", 1) for n in range(9)]
-    >>> len(link_targets(nodes[0], nodes[1:], LinkPlan(full_mesh_nodes=9)))
+    >>> len(select_link_targets(nodes[0], nodes[1:], LinkPlan(full_mesh_nodes=9)))
     8
     >>> plan = LinkPlan(full_mesh_nodes=8, relays_per_zone=2, neighbours=1)
-    >>> relays = relays_of([node.name for node in nodes], 2)
+    >>> relays = select_relays([node.name for node in nodes], 2)
     >>> leaf = next(node for node in nodes if node.name not in relays)
-    >>> set(relays) <= link_targets(leaf, [n for n in nodes if n != leaf], plan)
+    >>> set(relays) <= select_link_targets(leaf, [n for n in nodes if n != leaf], plan)
     True
     """
     others = list(others)
     if len(others) < plan.full_mesh_nodes:
         return {node.name for node in others}
-    zones = by_zone([own, *others])
+    zones = names_by_zone([own, *others])
     members = zones.pop(own.zone)
-    relays = relays_of(members, plan.relays_per_zone)
+    relays = select_relays(members, plan.relays_per_zone)
     if own.name not in relays:
-        return set(relays) | neighbours_of(own.name, members, plan.neighbours)
+        return set(relays) | ring_successors(own.name, members, plan.neighbours)
     targets = set(members)
     for names in zones.values():
-        targets.update(relays_of(names, plan.relays_per_zone))
+        targets.update(select_relays(names, plan.relays_per_zone))
     return targets - {own.name}
 
 
-def routes(
-    own: Node, target: Node, linked: list[Node], everybody: list[Node], plan: LinkPlan
+def forwarding_candidates(
+    own: Node, target: Node, linked: list[Node], live_nodes: list[Node], plan: LinkPlan
 ) -> list[str]:
-    """Return the linked nodes that may pass a message on, best first.
+    """Return the linked nodes that may forward a message, best first.
 
     Parameters
     ----------
     own, target : Node
-        The two ends.
+        Sender and target of the message.
     linked : list of Node
-        Nodes that this one has a usable link to.
-    everybody : list of Node
+        Nodes with a usable link to this node.
+    live_nodes : list of Node
         All live nodes.
     plan : LinkPlan
-        How many links nodes keep.
+        Link topology parameters.
 
     Returns
     -------
     names : list of str
-        Relays of the target's zone, then other nodes there, then our own zone's
-        relays, then relays elsewhere, then the rest. Equal ones stand in an order
-        of their own for each pair of ends, or one relay would carry everything.
+        Relays of the target's zone, then other nodes of that zone, then relays of
+        the sender's zone, then other relays, then the rest. The order of equal
+        candidates depends on sender and target, or one relay would carry all
+        messages.
     """
-    zones = by_zone([own, *everybody])
+    zones = names_by_zone([own, *live_nodes])
     relays = {
         name
         for names in zones.values()
-        for name in relays_of(names, plan.relays_per_zone)
+        for name in select_relays(names, plan.relays_per_zone)
     }
 
     def cost(node: Node) -> tuple[bool, bool, bool, int]:
--- a/src/rosemaryknot/process/peer_metrics.py
+++ b/src/rosemaryknot/process/peer_metrics.py
@@ -1,4 +1,4 @@
-"""Membership and the traffic of the links as metrics."""
+"""Metrics of the cluster membership and of link traffic."""
 
 from collections import defaultdict
 from typing import TYPE_CHECKING
@@ -9,9 +9,9 @@
 if TYPE_CHECKING:
     from rosemaryknot.process.peers import PeerSet
 
-__all__ = ["PeerMetrics", "duty_of", "traffic_by_duty"]
+__all__ = ["PeerMetrics", "kind_subsystem", "traffic_by_subsystem"]
 
-DUTIES = {
+SUBSYSTEM_BY_KIND = {
     "beat": "heartbeat",
     "peer": "membership",
     "configuration": "configuration",
@@ -39,55 +39,57 @@
 QUEUED = gauge("link_queued_bytes", "Bytes that wait to be written to message links.")
 
 
-def duty_of(kind: str) -> str:
-    """Return the duty that a kind of message belongs to.
+def kind_subsystem(kind: str) -> str:
+    """Return the ``duty`` label, the subsystem that a message kind belongs to.
 
     Examples
     --------
-    >>> duty_of("configuration_push")
+    >>> kind_subsystem("configuration_push")
     'configuration'
-    >>> duty_of("beat")
+    >>> kind_subsystem("beat")
     'heartbeat'
-    >>> duty_of("gateway_state")
+    >>> kind_subsystem("gateway_state")
     'offers'
-    >>> duty_of("peer_forward")
+    >>> kind_subsystem("peer_forward")
     'forwarding'
     """
     if kind in FORWARDED:
         return "forwarding"
-    word = kind.partition("_")[0]
-    return DUTIES.get(kind) or DUTIES.get(word, word or "unknown")
+    prefix = kind.partition("_")[0]
+    return SUBSYSTEM_BY_KIND.get(kind) or SUBSYSTEM_BY_KIND.get(
+        prefix, prefix or "unknown"
+    )
 
 
-def by_duty(kinds: dict[str, KindTraffic]) -> dict[str, KindTraffic]:
-    """Return the sums of the kinds of each duty."""
+def totals_by_subsystem(kinds: dict[str, KindTraffic]) -> dict[str, KindTraffic]:
+    """Return the total traffic of each subsystem."""
     sums: dict[str, KindTraffic] = defaultdict(KindTraffic)
     for kind, traffic in kinds.items():
-        total = sums[duty_of(kind)]
+        total = sums[kind_subsystem(kind)]
         total.messages += traffic.messages
         total.bytes += traffic.bytes
     return sums
 
 
-def traffic_by_duty(traffic: Traffic) -> dict[str, dict[str, dict[str, int]]]:
-    """Return messages and bytes by direction and duty, as the status shows them."""
+def traffic_by_subsystem(traffic: Traffic) -> dict[str, dict[str, dict[str, int]]]:
+    """Return messages and bytes by direction and subsystem for the status call."""
     directions = {"sent": traffic.sent, "received": traffic.received}
     return {
         direction: {
             duty: {"messages": total.messages, "bytes": total.bytes}
-            for duty, total in sorted(by_duty(kinds).items())
+            for duty, total in sorted(totals_by_subsystem(kinds).items())
         }
         for direction, kinds in directions.items()
     }
 
 
 class PeerMetrics:
-    """Brings the metrics of a peer set up to date.
+    """Exports the counters of a peer set as metrics.
 
     Parameters
     ----------
     peers : PeerSet
-        What is counted.
+        Source of the counters.
     """
 
     def __init__(self, peers: "PeerSet") -> None:
@@ -95,11 +97,11 @@
         self.reported: dict[tuple, int] = {}
 
     def update(self) -> None:
-        """Add what was counted since the last time."""
+        """Add the increments since the previous update."""
         LIVE.set(len(self.peers.nodes()))
         LINKED.set(len(self.peers.linked()))
         QUEUED.set(self.peers.queued_bytes())
-        for direction, duties in traffic_by_duty(self.peers.traffic).items():
+        for direction, duties in traffic_by_subsystem(self.peers.traffic).items():
             for duty, total in duties.items():
                 labels = {"direction": direction, "duty": duty}
                 self.add(BYTES, total["bytes"], labels)
@@ -108,7 +110,7 @@
             self.add(EVENTS, count, {"event": event})
 
     def events(self) -> dict[str, int]:
-        """Return the counts of all that is no message."""
+        """Return the event counters, which cover everything but messages."""
         traffic = self.peers.traffic
         return dict(self.peers.counters) | {
             "unreadable": traffic.unreadable,
@@ -118,7 +120,7 @@
         }
 
     def add(self, metric: object, total: int, labels: dict[str, str]) -> None:
-        """Add the difference to what was reported before."""
+        """Add the difference between a total and its last exported value."""
         key = (id(metric), *labels.values())
         metric.add(total - self.reported.get(key, 0), **labels)
         self.reported[key] = total
--- a/src/rosemaryknot/process/peer_table.py
+++ b/src/rosemaryknot/process/peer_table.py
@@ -1,4 +1,4 @@
-"""What a node knows of the other nodes: a hint, never a proof."""
+"""Membership records of the other nodes, which are hints and never confirmation."""
 
 from dataclasses import replace
 
@@ -11,11 +11,11 @@
 __all__ = ["PeerTable"]
 
 MAX_RECORDS = 4096
-FORGET_S = 300.0
+RECORD_TTL_S = 300.0
 
 
 class PeerTable:
-    """Records of all known nodes, newest statement of each.
+    """The newest record of each known node.
 
     Parameters
     ----------
@@ -25,44 +25,44 @@
     Attributes
     ----------
     own : PeerRecord
-        The record of this node; only it raises its sequence.
+        The record of this node; only this node increments its sequence.
     records : dict of str to PeerRecord
-        Records of the others by name.
-    unspread : set of str
-        Names whose record changed since it was last spread.
-    newer_self : int
-        Statements seen about a later incarnation of this very node.
+        Records of the other nodes by name.
+    pending_gossip : set of str
+        Names of the nodes whose record changed since it was last gossiped.
+    newer_incarnations_seen : int
+        Number of records received about a later incarnation of this node.
     refused : int
-        Records of new nodes for which there was no room.
+        Number of records of new nodes rejected because the table was full.
     """
 
     def __init__(self, own: PeerRecord) -> None:
         self.own = own
         self.records: dict[str, PeerRecord] = {}
-        self.unspread: set[str] = {own.name}
-        self.newer_self = 0
+        self.pending_gossip: set[str] = {own.name}
+        self.newer_incarnations_seen = 0
         self.refused = 0
 
     def all_records(self) -> list[PeerRecord]:
-        """Return every record, this node's own first."""
+        """Return all records, starting with that of this node."""
         return [self.own, *self.records.values()]
 
     def live_nodes(self) -> list[Node]:
-        """Return the other nodes that nobody suspects."""
+        """Return the other nodes that are not suspected."""
         return [r.node for r in self.records.values() if r.state == PeerState.LIVE]
 
-    def is_older(self, node: Node) -> bool:
-        """Tell whether a later incarnation of a node is known."""
+    def has_newer_incarnation(self, node: Node) -> bool:
+        """Return whether a later incarnation of a node is known."""
         known = self.records.get(node.name)
         return known is not None and known.incarnation > node.incarnation
 
     def merge(self, record: PeerRecord, now_s: float) -> bool:
-        """Take a statement in, if it is newer than what is known.
+        """Apply a received record if it is newer than the known one.
 
         Parameters
         ----------
         record : PeerRecord
-            What another node says.
+            Record received from another node.
         now_s : float
             Trio time, in seconds.
 
@@ -72,94 +72,95 @@
             Whether the table changed.
         """
         if record.name == self.own.name:
-            return self.answer(record)
+            return self.refute(record)
         known = self.records.get(record.name)
         if known is None:
             return self.add(record, now_s)
-        if record.rank <= known.rank:
+        if record.precedence <= known.precedence:
             return False
         if record.state != PeerState.LIVE and known.state != PeerState.LIVE:
             record.suspect_since_s = min(record.suspect_since_s, known.suspect_since_s)
         self.records[record.name] = record
-        self.unspread.add(record.name)
+        self.pending_gossip.add(record.name)
         return True
 
     def add(self, record: PeerRecord, now_s: float) -> bool:
-        """Take the first statement about a node in."""
+        """Add the first record of a node."""
         if record.state != PeerState.LIVE:
-            # Nodes forget one that is gone at different moments. Were it learnt
-            # again from one that has not yet, it would be passed round for ever.
+            # Nodes evict the record of a removed node at different times. If one
+            # learnt it again from a node that still has it, the record would
+            # circulate indefinitely.
             return False
-        if len(self.records) >= MAX_RECORDS and not self.make_room():
+        if len(self.records) >= MAX_RECORDS and not self.evict_oldest():
             self.refused += 1
             return False
         self.records[record.name] = record
-        self.unspread.add(record.name)
+        self.pending_gossip.add(record.name)
         return True
 
-    def make_room(self) -> bool:
-        """Drop the node that is gone for longest, if any is."""
-        gone = [r for r in self.records.values() if r.state != PeerState.LIVE]
-        if not gone:
+    def evict_oldest(self) -> bool:
+        """Evict the record that has been not live for longest, if there is one."""
+        not_live = [r for r in self.records.values() if r.state != PeerState.LIVE]
+        if not not_live:
             return False
-        oldest = min(gone, key=lambda record: record.suspect_since_s)
+        oldest = min(not_live, key=lambda record: record.suspect_since_s)
         del self.records[oldest.name]
         return True
 
-    def answer(self, record: PeerRecord) -> bool:
-        """Contradict what is said of this node, unless it is true."""
+    def refute(self, record: PeerRecord) -> bool:
+        """Refute a received record of this node, unless it is correct."""
         if record.incarnation > self.own.incarnation:
-            self.newer_self += 1
+            self.newer_incarnations_seen += 1
             return False
-        if self.own.state == PeerState.LEFT or record.rank <= self.own.rank:
+        if self.own.state == PeerState.LEFT or record.precedence <= self.own.precedence:
             return False
         self.own = replace(self.own, sequence=record.sequence + 1)
-        self.unspread.add(self.own.name)
+        self.pending_gossip.add(self.own.name)
         return True
 
     def suspect(self, name: str, now_s: float) -> bool:
-        """Note that a node cannot be reached; return whether that is news."""
+        """Mark a live node as suspected; return whether the record changed."""
         known = self.records.get(name)
         if known is None or known.state != PeerState.LIVE:
             return False
         self.records[name] = replace(
             known, state=PeerState.SUSPECT, suspect_since_s=now_s
         )
-        self.unspread.add(name)
+        self.pending_gossip.add(name)
         return True
 
-    def forget(self, now_s: float) -> list[str]:
-        """Drop the nodes that have not been heard of for `FORGET_S` seconds.
+    def evict_expired(self, now_s: float) -> list[str]:
+        """Evict records of nodes not seen alive for `RECORD_TTL_S` seconds.
 
         Returns
         -------
         names : list of str
-            The nodes dropped.
+            Names of the evicted nodes.
         """
         names = [
             record.name
             for record in self.records.values()
             if record.state != PeerState.LIVE
-            and now_s - record.suspect_since_s > FORGET_S
+            and now_s - record.suspect_since_s > RECORD_TTL_S
         ]
         for name in names:
             del self.records[name]
-            self.unspread.discard(name)
+            self.pending_gossip.discard(name)
         return names
 
-    def take_unspread(self) -> list[PeerRecord]:
-        """Return the records to spread, and clear their list."""
-        names, self.unspread = self.unspread, set()
+    def take_pending_gossip(self) -> list[PeerRecord]:
+        """Return the records to gossip and clear the pending set."""
+        names, self.pending_gossip = self.pending_gossip, set()
         return [r for r in self.all_records() if r.name in names]
 
     def digest(self) -> int:
-        """Return a number that is the same where the live records are the same."""
-        # Of the fields only: a state is a plain number where it came in a message and
-        # a `PeerState` elsewhere. Were that in the digest, tables that agree would be
-        # sent over and over.
-        ranks = sorted(
+        """Return a hash that is equal for tables with equal live records."""
+        # Only these fields are hashed. The state is a plain number if it came in a
+        # message and a `PeerState` otherwise; if that were hashed, equal tables would
+        # be sent repeatedly.
+        versions = sorted(
             (r.name, r.incarnation, r.sequence)
             for r in self.all_records()
             if r.state == PeerState.LIVE
         )
-        return xxhash.xxh64_intdigest(msgpack.packb(ranks))
+        return xxhash.xxh64_intdigest(msgpack.packb(versions))
--- a/src/rosemaryknot/process/peers.py
+++ b/src/rosemaryknot/process/peers.py
@@ -1,8 +1,8 @@
-"""Membership: the other nodes, and the links to them.
+"""Cluster membership: the other nodes and the links to them.
 
-One task for each peer dials it, notices when its link falls silent and replaces the
-link. What is known of nodes spreads over the links. All of it is a hint: that a node
-is suspected gives nobody a right.
+One task for each peer dials it, detects a silent link and replaces it. Membership
+records are gossiped over the links. They are hints only: no correctness decision may
+rely on a node being suspected.
 """
 
 import random
@@ -19,11 +19,11 @@
 )
 from rosemaryknot.connection.network import Network
 from rosemaryknot.process.logs import logger
-from rosemaryknot.process.peer import SILENT_S, LinkEnd, Peer, full_jitter
+from rosemaryknot.process.peer import SILENCE_TIMEOUT_S, LinkEnd, Peer, full_jitter
 from rosemaryknot.process.peer_dialler import ENTRY_ROLE, PeerDialler
 from rosemaryknot.process.peer_forwarding import Forwarder
 from rosemaryknot.process.peer_gossip import PeerGossip
-from rosemaryknot.process.peer_links import LinkPlan, link_targets
+from rosemaryknot.process.peer_links import LinkPlan, select_link_targets
 from rosemaryknot.process.peer_table import PeerTable
 from rosemaryknot.values.messages import Message, encode_message
 from rosemaryknot.values.nodes import Address, Node
@@ -38,17 +38,17 @@
 
 LOG = logger("peers")
 
-TEND_S = 1.0
-IDLE_S = 10.0
-# A wait so short that the clock does not move would go round for ever.
-SHORTEST_S = 0.01
-STABLE_S = 1.0
-SPREAD_S = 0.05
+REFRESH_INTERVAL_S = 1.0
+IDLE_CHECK_INTERVAL_S = 10.0
+# A shorter wait might not advance the clock, and the loop would spin indefinitely.
+MIN_WAIT_S = 0.01
+STABLE_LINK_AGE_S = 1.0
+GOSSIP_DELAY_S = 0.05
 PROBE_TIMEOUT_S = 1.0
-SEED_PAUSE_S = 5.0
-GOODBYE_S = 1.0
-GOODBYE_LINGER_S = 0.1
-ENTRY_SILENT_S = 5.0
+SEED_CHECK_INTERVAL_S = 5.0
+LEAVE_FLUSH_TIMEOUT_S = 1.0
+LEAVE_LINGER_S = 0.1
+ENTRY_SILENCE_TIMEOUT_S = 5.0
 
 EntryLinkHandler = Callable[[MessageLink], Awaitable[None]]
 
@@ -59,31 +59,31 @@
     Parameters
     ----------
     network : Network
-        Where links come from.
+        Accepts and opens connections.
     node : Node
-        This node, with the incarnation of this start.
+        This node, with the incarnation of this process.
     listen : Address
-        Where to accept links; port 0 takes a free one.
+        Address to accept links at; port 0 selects a free port.
     key : bytes
         Cluster key.
     seeds : iterable of Address
-        Where nodes may be found at the start.
+        Addresses at which to discover nodes initially.
     handlers : Handlers
-        What to do with messages; this class adds its own kinds.
+        Message handlers; this class registers its own.
     plan : LinkPlan, optional
-        How many links nodes keep.
+        Link topology parameters.
     rng : random.Random, optional
-        Gives the jitter.
+        Source of jitter.
 
     Attributes
     ----------
     entries : list of MessageLink
-        Links of this node's entries.
+        Links of the entry processes of this node.
     on_entry_link : list of callable
-        Async functions called with each new link of an entry, in tasks that end
-        with the link.
+        Async functions called with each new link of an entry, each in a task that
+        is cancelled when the link closes.
     traffic : Traffic
-        Messages and bytes of all links by kind.
+        Messages and bytes of all links by message kind.
     counters : Counter
         ``dials``, ``dials_failed``, ``hellos_refused``, ``links_replaced``,
         ``suspicions``.
@@ -119,24 +119,29 @@
         self.changes = 0
         self.live: list[Node] = []
         self.changed = trio.Event()
-        self.touched = trio.Event()
+        self.refresh_requested = trio.Event()
         self.nursery: trio.Nursery | None = None
         self.forwarder = Forwarder(
             node, handlers, self.best_link, self.linked, self.nodes, self.plan
         )
         self.gossip = PeerGossip(
-            self.table, handlers, self.linked, self.send, self.note_record, self.rng
+            self.table,
+            handlers,
+            self.linked,
+            self.send,
+            self.handle_record_change,
+            self.rng,
         )
         handlers.on(PeerProbe)(self.handle_probe)
 
-    # What others ask of it.
+    # Queries and messaging
 
     def nodes(self) -> list[Node]:
-        """Return the other nodes that seem to live."""
+        """Return the other nodes that are believed to be alive."""
         return self.live
 
     def is_live(self, name: str) -> bool:
-        """Tell whether a node seems to live; a hint."""
+        """Return whether a node is believed to be alive; a hint."""
         return any(node.name == name for node in self.live)
 
     def linked(self) -> list[Node]:
@@ -145,67 +150,67 @@
         return [end.link.hello.node for end in ends if end is not None]
 
     def linked_to(self, name: str) -> bool:
-        """Tell whether there is a usable link to a node."""
+        """Return whether there is a usable link to a node."""
         return self.best_link(name) is not None
 
     def best_link(self, name: str) -> MessageLink | None:
-        """Return the link to use to a node, or None."""
+        """Return the preferred link to a node, or None."""
         peer = self.peers.get(name)
         end = None if peer is None else peer.best()
         return None if end is None else end.link
 
     def queued_bytes(self) -> int:
-        """Return how many bytes wait to be written to all links."""
+        """Return the number of bytes queued for writing on all links."""
         ends = [end for peer in self.peers.values() for end in peer.links]
         return sum(len(end.link.output) for end in ends)
 
     async def call(
         self, name: str, value: Message, timeout_s: float
     ) -> Message | CallFailed:
-        """Call a node, by its own link or through other nodes.
+        """Call a node over a direct link, or through other nodes if there is none.
 
         Parameters
         ----------
         name : str
-            The node.
+            Name of the node.
         value : Message
             The message.
         timeout_s : float
-            Bound on the wait, in seconds.
+            Timeout in seconds.
 
         Returns
         -------
-        answer : Message or CallFailed
-            The answer, or why there is none.
+        response : Message or CallFailed
+            The response, or why there is none.
         """
         link = self.best_link(name)
         if link is None:
             return await self.forwarder.call(name, value, timeout_s)
         return await link.call(value, timeout_s)
 
-    async def call_around(
+    async def call_via_peers(
         self, name: str, value: Message, timeout_s: float
     ) -> Message | CallFailed:
-        """Call a node through other nodes, past a link that gives no answer.
+        """Call a node through other nodes, bypassing an unresponsive direct link.
 
-        For messages that may be handled twice; parameters as for `call`.
+        Only for idempotent messages; parameters as for `call`.
         """
-        return await self.forwarder.call(name, value, timeout_s, around=True)
+        return await self.forwarder.call(name, value, timeout_s, skip_direct=True)
 
     async def send(self, name: str, value: Message) -> bool:
-        """Send a message that needs no answer.
+        """Send a message that needs no response.
 
         Parameters
         ----------
         name : str
-            The node.
+            Name of the node.
         value : Message
             The message.
 
         Returns
         -------
         sent : bool
-            False where there is no way to the node; True is no proof of arrival.
+            False if there is no route to the node. True does not confirm delivery.
         """
         link = self.best_link(name)
         if link is None:
@@ -213,69 +218,71 @@
         return await link.send(value)
 
     async def broadcast(self, value: Message, zone: str | None = None) -> None:
-        """Send a message to every live node, or to those of one zone."""
+        """Send a message to all live nodes, or to those of one zone."""
         nodes = [n.name for n in self.nodes() if zone is None or n.zone == zone]
         await self.send_all(nodes, value)
 
     async def send_all(self, names: Iterable[str], value: Message) -> None:
-        """Send a message to several nodes, encoded once; a slow one holds up no other.
+        """Send a message, encoded once, to several nodes concurrently.
+
+        A slow node does not delay the others.
 
         Parameters
         ----------
         names : iterable of str
-            The nodes; this one is left out.
+            Names of the nodes; this node is skipped.
         value : Message
-            The message, which needs no answer.
+            The message, which needs no response.
         """
         payload = encode_message(value)
-        slow = []
+        unsent = []
         for name in names:
             link = self.best_link(name)
             is_own = name == self.node.name
             if not is_own and (link is None or not link.put(value.kind, payload)):
-                slow.append(name)
-        if not slow:
+                unsent.append(name)
+        if not unsent:
             return
         async with trio.open_nursery() as nursery:
-            for name in slow:
+            for name in unsent:
                 nursery.start_soon(self.send, name, value)
 
     async def wait_changed(self, after: int) -> int:
-        """Wait until the live nodes differ from what they were.
+        """Wait until the set of live nodes changes.
 
         Parameters
         ----------
         after : int
-            What this method returned last; 0 at first.
+            Return value of the previous call; 0 for the first call.
 
         Returns
         -------
         changes : int
-            Number of changes up to now.
+            Number of changes so far.
         """
         while self.changes <= after:
             await self.changed.wait()
         return self.changes
 
     def add_seeds(self, seeds: Iterable[Address]) -> None:
-        """Look for nodes at more addresses, such as the platform's list gives."""
+        """Add addresses at which to discover nodes, such as from the platform."""
         for seed in seeds:
             if seed not in self.seeds:
                 self.seeds.append(seed)
                 if self.nursery is not None:
                     self.nursery.start_soon(self.run_seed, seed)
 
-    # Its tasks.
+    # Tasks
 
     async def run(
         self, task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Accept and keep links until cancelled.
+        """Accept and maintain links until cancelled.
 
         Parameters
         ----------
         task_status : trio.TaskStatus
-            Told the bound address.
+            Receives the bound address.
         """
         async with trio.open_nursery() as self.nursery:
             listen = self.network.listen
@@ -284,60 +291,62 @@
             for seed in self.seeds:
                 self.nursery.start_soon(self.run_seed, seed)
             self.nursery.start_soon(self.gossip.run)
-            self.nursery.start_soon(self.run_table)
+            self.nursery.start_soon(self.maintain_table)
             task_status.started(self.listen)
 
     async def leave(self) -> None:
-        """Say goodbye, so that nobody has to find out."""
+        """Announce that this node leaves, so that others need not detect it."""
         await self.gossip.announce_leave()
         async with trio.open_nursery() as nursery:
             for node in self.linked():
-                nursery.start_soon(self.best_link(node.name).flush, GOODBYE_S)
-        # The end of a link cancels what its other end has still to handle. A goodbye
-        # that the connection's end follows at once is lost, and the node suspected;
-        # a moment between the two lets it be handled.
-        await trio.sleep(GOODBYE_LINGER_S)
+                nursery.start_soon(
+                    self.best_link(node.name).flush, LEAVE_FLUSH_TIMEOUT_S
+                )
+        # Closing a link cancels the messages that the other end has not yet handled.
+        # If the connection closed immediately after the leave message, the message
+        # would be lost and the node suspected; the delay lets it be handled first.
+        await trio.sleep(LEAVE_LINGER_S)
 
     async def run_seed(self, address: Address) -> None:
-        """Look for a node at an address until one is known there."""
+        """Dial an address until a node is known there, and again if it is removed."""
         failures = 0
         while address != self.listen:
             if self.is_known(address) or await self.dial(address) is not None:
                 failures = 0
-                await trio.sleep(SEED_PAUSE_S)
+                await trio.sleep(SEED_CHECK_INTERVAL_S)
             else:
                 failures += 1
                 await trio.sleep(full_jitter(failures, self.rng))
 
     def is_known(self, address: Address) -> bool:
-        """Tell whether a known node, which has its own task, accepts links there."""
+        """Return whether a known node, which has its own task, has this address."""
         text = str(address)
         return any(record.address == text for record in self.table.records.values())
 
-    async def run_table(self) -> None:
-        """Spread what changed, and keep the tasks and the live nodes up to date."""
+    async def maintain_table(self) -> None:
+        """Gossip changed records, and update the peer tasks and the live nodes."""
         while True:
-            with trio.move_on_after(TEND_S):
-                await self.touched.wait()
-            self.touched = trio.Event()
+            with trio.move_on_after(REFRESH_INTERVAL_S):
+                await self.refresh_requested.wait()
+            self.refresh_requested = trio.Event()
             self.refresh()
             await self.gossip.gossip()
-            await trio.sleep(SPREAD_S)
+            await trio.sleep(GOSSIP_DELAY_S)
 
     def refresh(self) -> None:
-        """Work out the peers to link to and the live nodes."""
-        for name in self.table.forget(trio.current_time()):
-            self.log_peer("forgot", name)
+        """Update the link targets, the peer tasks and the live nodes."""
+        for name in self.table.evict_expired(trio.current_time()):
+            self.log_peer_event("removed expired record", name)
         records = self.table.records.values()
-        known = [r.node for r in records if r.state != PeerState.LEFT]
+        not_left = [r.node for r in records if r.state != PeerState.LEFT]
         live = self.table.live_nodes()
-        # Links to suspected nodes are tried too, or a healed partition would
-        # never be noticed.
-        targets = link_targets(self.node, live, self.plan)
-        targets |= link_targets(self.node, known, self.plan)
-        newly_wanted = (targets - self.targets) & self.peers.keys()
+        # Suspected nodes are dialled too, or the end of a network partition would
+        # never be detected.
+        targets = select_link_targets(self.node, live, self.plan)
+        targets |= select_link_targets(self.node, not_left, self.plan)
+        newly_needed = (targets - self.targets) & self.peers.keys()
         self.targets = targets
-        for name in newly_wanted:
+        for name in newly_needed:
             self.peers[name].wake()
         for name in self.table.records:
             if name not in self.peers:
@@ -346,7 +355,7 @@
         self.update_live_nodes()
 
     def update_live_nodes(self) -> None:
-        """Tell those who wait when the live nodes are others."""
+        """Update the live nodes and wake waiters if they changed."""
         nodes = {node.name: node for node in self.table.live_nodes()}
         for node in self.linked():
             record = self.table.records.get(node.name)
@@ -360,51 +369,53 @@
             self.changed = trio.Event()
 
     async def run_peer(self, peer: Peer) -> None:
-        """Keep a link to one peer while it is known."""
+        """Maintain a link to one peer while it has a record."""
         failures = 0
         while peer.name in self.table.records or peer.links:
             best = peer.best()
             if best is not None:
-                if best.link.age_s() > STABLE_S:
+                if best.link.age_s() > STABLE_LINK_AGE_S:
                     failures = 0
                 self.counters["links_replaced"] += peer.clean_up()
-                if not self.wants_link(peer):
-                    peer.close_unwanted()
-                await peer.wait(max(SHORTEST_S, SILENT_S - best.link.silence_s()))
-            elif self.wants_link(peer):
+                if not self.needs_link(peer):
+                    peer.close_unneeded()
+                await peer.wait(
+                    max(MIN_WAIT_S, SILENCE_TIMEOUT_S - best.link.silence_s())
+                )
+            elif self.needs_link(peer):
                 await self.reconnect(peer, failures)
                 failures += 1
             else:
-                # Most nodes of a large region are such peers; a look at each of them
-                # every second would cost more than all links. `refresh` wakes those
-                # that are wanted.
+                # Most nodes of a large region need no link. Checking each of them
+                # every second would cost more than all links; `refresh` wakes those
+                # that need one.
                 peer.close_all("silent")
-                await peer.wait(IDLE_S)
+                await peer.wait(IDLE_CHECK_INTERVAL_S)
         del self.peers[peer.name]
 
-    def wants_link(self, peer: Peer) -> bool:
-        """Tell whether this node keeps a link to a peer."""
+    def needs_link(self, peer: Peer) -> bool:
+        """Return whether this node should have a link to a peer."""
         record = self.table.records.get(peer.name)
         if record is None or record.state == PeerState.LEFT or self.gossip.has_left:
             return False
         return peer.name in self.targets
 
     async def reconnect(self, peer: Peer, failures: int) -> None:
-        """Open a fresh link, after a pause if the last one came to nothing.
+        """Open a new link, with backoff if the last attempt failed.
 
-        A peer that takes links and ends them at once, as one does with an older
-        incarnation, would otherwise be dialled without a pause.
+        Without backoff, a peer that accepts links and closes them immediately, as it
+        does for an older incarnation, would be dialled in a tight loop.
         """
         if failures:
             await peer.wait(full_jitter(failures, self.rng))
         if not peer.usable() and not await self.connect(peer):
-            await self.doubt(peer)
+            await self.confirm_unreachable(peer)
 
     async def connect(self, peer: Peer) -> bool:
-        """Open a fresh link to a peer.
+        """Open a new link to a peer.
 
-        An open connection can go silent for good while new ones work, so this
-        comes before any suspicion.
+        An open connection can go silent permanently while new connections work, so
+        a new one is attempted before the peer is suspected.
         """
         record = self.table.records.get(peer.name)
         if record is None:
@@ -412,27 +423,27 @@
         hello = await self.dial(Address.from_text(record.address))
         return hello is not None and hello.name == peer.name
 
-    async def doubt(self, peer: Peer) -> None:
-        """Suspect a peer that cannot be reached, unless others reach it."""
+    async def confirm_unreachable(self, peer: Peer) -> None:
+        """Suspect an unreachable peer unless other nodes can reach it."""
         record = self.table.records.get(peer.name)
         if record is None or record.state != PeerState.LIVE or peer.usable():
             return
-        answer = await self.forwarder.call(peer.name, PeerProbe(), PROBE_TIMEOUT_S)
-        if isinstance(answer, PeerAlive) or peer.usable():
+        response = await self.forwarder.call(peer.name, PeerProbe(), PROBE_TIMEOUT_S)
+        if isinstance(response, PeerAlive) or peer.usable():
             return
         if self.table.suspect(peer.name, trio.current_time()):
             self.counters["suspicions"] += 1
-            self.log_peer("suspects", peer.name)
-            self.touch()
+            self.log_peer_event("suspecting unreachable node", peer.name)
+            self.request_refresh()
 
-    # Links.
+    # Links
 
     async def dial(self, address: Address) -> Hello | None:
-        """Open a link; return the other end's hello, or None."""
+        """Open a link; return the hello of the other end, or None on failure."""
         link = await self.dialler.dial(address)
         if link is None:
             return None
-        self.nursery.start_soon(self.run_link, self.adopt(link, is_dialled=True))
+        self.nursery.start_soon(self.run_link, self.add_link(link, is_dialled=True))
         return link.hello
 
     async def accept(self, stream: trio.abc.HalfCloseableStream) -> None:
@@ -443,10 +454,10 @@
         if link.hello.role == ENTRY_ROLE:
             await self.run_entry_link(link)
         else:
-            await self.run_link(self.adopt(link, is_dialled=False))
+            await self.run_link(self.add_link(link, is_dialled=False))
 
-    def adopt(self, link: MessageLink, is_dialled: bool) -> LinkEnd:
-        """Take a new link in."""
+    def add_link(self, link: MessageLink, is_dialled: bool) -> LinkEnd:
+        """Register a new link and the record of the node at its other end."""
         hello = link.hello
         record = PeerRecord(hello.name, hello.zone, hello.incarnation, hello.address)
         self.table.merge(record, trio.current_time())
@@ -455,28 +466,28 @@
         if peer is None:
             peer = self.peers[hello.name] = Peer(self.node.name, hello.name)
             self.nursery.start_soon(self.run_peer, peer)
-        # The process of an earlier incarnation is dead; its link may stay open.
+        # The process of an earlier incarnation has ended; its link may still be open.
         peer.close_all("newer incarnation", before_incarnation=hello.incarnation)
         peer.add(end)
-        self.touch()
+        self.request_refresh()
         return end
 
     async def run_link(self, end: LinkEnd) -> None:
-        """Exchange messages with a peer until the link ends."""
+        """Exchange messages with a peer until the link closes."""
         peer = self.peers[end.link.hello.name]
         try:
             await self.gossip.start_comparison(end.link)
             await end.link.run()
         finally:
             peer.remove(end)
-            self.touch()
+            self.request_refresh()
 
     async def run_entry_link(self, link: MessageLink) -> None:
-        """Exchange messages with an entry of this node until the link ends."""
+        """Exchange messages with an entry of this node until the link closes."""
         self.entries.append(link)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(link.close_when_silent, ENTRY_SILENT_S)
+                nursery.start_soon(link.close_when_silent, ENTRY_SILENCE_TIMEOUT_S)
                 for handler in self.on_entry_link:
                     nursery.start_soon(handler, link)
                 await link.run()
@@ -484,29 +495,29 @@
         finally:
             self.entries.remove(link)
 
-    def note_record(self, record: PeerRecord) -> None:
-        """Act on a record that changed."""
+    def handle_record_change(self, record: PeerRecord) -> None:
+        """Close links or wake the peer task after a record changed."""
         peer = self.peers.get(record.name)
         if peer is not None:
             if record.state == PeerState.LEFT:
                 peer.close_all("left")
             peer.wake()
-        self.touch()
+        self.request_refresh()
 
     async def handle_probe(self, value: PeerProbe, link: MessageLink) -> PeerAlive:
-        """Show that this node is there."""
+        """Respond that this node is alive."""
         return PeerAlive()
 
-    def touch(self) -> None:
-        """Let the table's task look at once."""
-        self.touched.set()
+    def request_refresh(self) -> None:
+        """Wake the table maintenance task immediately."""
+        self.refresh_requested.set()
 
-    def log_peer(self, text: str, name: str) -> None:
+    def log_peer_event(self, text: str, name: str) -> None:
         """Write a log line about a peer."""
         LOG.info(text, peer=name)
 
     def suspected(self) -> list[str]:
-        """Return the names of nodes that are known and cannot be reached."""
+        """Return the names of known nodes that cannot be reached."""
         return [
             record.name
             for record in self.table.records.values()
@@ -514,7 +525,7 @@
         ]
 
     def status(self) -> list[dict]:
-        """Return the nodes as the status call shows them."""
+        """Return the nodes in the format of the status call."""
         linked = {node.name for node in self.linked()}
         return [
             {
--- a/src/rosemaryknot/process/platform_watch.py
+++ b/src/rosemaryknot/process/platform_watch.py
@@ -1,4 +1,4 @@
-"""Tasks that keep the table of backend servers in step with the platform."""
+"""Tasks that synchronize the table of backend servers with the platform."""
 
 from collections.abc import Callable
 from random import Random
@@ -12,11 +12,11 @@
 
 __all__ = ["Backoff", "PlatformWatch"]
 
-INTERVAL_S = 2.0
-RECHECK_S = 1.0
-STABLE_S = 5.0
-FIRST_DELAY_S = 0.2
-MAX_DELAY_S = 5.0
+LIST_INTERVAL_S = 2.0
+WATCHER_CHECK_INTERVAL_S = 1.0
+STABLE_WATCH_S = 5.0
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
 
 LIST_FAILURES = counter("instance_list_failures_total", "Instance lists not read.")
 WATCH_ENDS = counter("notice_watch_ends_total", "Notice watches that ended.")
@@ -26,29 +26,29 @@
 
 
 class Backoff:
-    """Delays that grow with each failure in a row, with full jitter.
+    """Exponential backoff with full jitter.
 
-    Nodes that lose the platform at the same moment would come back to it at the
-    same moment, again and again; a delay drawn from the whole range spreads them.
+    Nodes that lose the platform simultaneously would otherwise retry simultaneously
+    each time. Drawing the delay from the full range distributes their attempts.
 
     Parameters
     ----------
     random : Random
-        Seeded by the caller.
+        Source of jitter, seeded by the caller.
     first_s, max_s : float
-        Bound of the first delay and of every delay, in seconds.
+        Upper limits of the first delay and of all delays, in seconds.
 
     Attributes
     ----------
     failures : int
-        Failures in a row.
+        Number of consecutive failures.
     """
 
     def __init__(
         self,
         random: Random,
-        first_s: float = FIRST_DELAY_S,
-        max_s: float = MAX_DELAY_S,
+        first_s: float = INITIAL_BACKOFF_S,
+        max_s: float = MAX_BACKOFF_S,
     ) -> None:
         self.random = random
         self.first_s = first_s
@@ -56,39 +56,39 @@
         self.failures = 0
 
     def succeed(self) -> None:
-        """Start again from the first delay."""
+        """Reset to the first delay."""
         self.failures = 0
 
     def next_delay_s(self) -> float:
-        """Count a failure and return how long to wait, in seconds."""
-        bound = min(self.max_s, self.first_s * 2.0 ** min(self.failures, 30))
+        """Record a failure and return the delay in seconds."""
+        bound_s = min(self.max_s, self.first_s * 2.0 ** min(self.failures, 30))
         self.failures += 1
-        return self.random.uniform(0.0, bound)
+        return self.random.uniform(0.0, bound_s)
 
 
 class PlatformWatch:
-    """Polls the instance list and follows reclaim notices.
+    """Polls the instance list and watches reclaim notices.
 
-    A few nodes of each zone do so; the others learn by peer messages, so that the
-    platform's calls don't grow with the fleet.
+    Only a few nodes of each zone do so. The others receive the results in peer
+    messages, so that the load on the platform does not grow with the fleet.
 
     Parameters
     ----------
     source : InstanceSource
-        The platform.
+        Client of the platform.
     table : ServerTable
-        Where the findings go.
+        Table to update.
     random : Random
-        For jitter.
+        Source of jitter.
     is_watcher : callable
-        Tells whether this node watches now; asked each second.
+        Returns whether this node should watch; called each second.
     interval_s : float
-        Time between two lists, in seconds.
+        Mean time between two list calls, in seconds.
 
     Attributes
     ----------
     lists, list_failures : int
-        Counters.
+        Numbers of successful and failed list calls.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         table: ServerTable,
         random: Random,
         is_watcher: Callable[[], bool] = lambda: True,
-        interval_s: float = INTERVAL_S,
+        interval_s: float = LIST_INTERVAL_S,
     ) -> None:
         self.source = source
         self.table = table
@@ -108,26 +108,26 @@
         self.list_failures = 0
 
     async def run(self) -> None:
-        """Watch for as long as this node is a watcher, until cancelled."""
+        """Watch the platform while this node is a watcher, until cancelled."""
         while True:
             while not self.is_watcher():
-                await trio.sleep(RECHECK_S)
+                await trio.sleep(WATCHER_CHECK_INTERVAL_S)
             WATCHING.set(1)
-            log.info("watching instances and notices")
+            log.info("started watching instances and notices")
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.poll_list)
-                nursery.start_soon(self.follow_notices)
+                nursery.start_soon(self.run_notice_watch)
                 while self.is_watcher():
-                    await trio.sleep(RECHECK_S)
+                    await trio.sleep(WATCHER_CHECK_INTERVAL_S)
                 nursery.cancel_scope.cancel()
             WATCHING.set(0)
-            log.info("left watching to other nodes")
+            log.info("stopped watching; other nodes watch the platform")
 
     async def poll_list(self) -> None:
-        """Read the instance list again and again.
+        """Poll the instance list.
 
-        While the platform is out the table stays as it is: old servers are better
-        than none, and those that have gone refuse the connection.
+        During a platform outage the table stays unchanged: outdated servers are
+        better than none, and removed servers refuse connections.
         """
         backoff = Backoff(self.random)
         while True:
@@ -135,7 +135,7 @@
             if isinstance(servers, PlatformFailed):
                 self.list_failures += 1
                 LIST_FAILURES.add(reason=servers.reason)
-                log.warning(f"no instance list: {servers.reason}")
+                log.warning(f"reading the instance list failed: {servers.reason}")
                 await trio.sleep(backoff.next_delay_s())
                 continue
             backoff.succeed()
@@ -143,11 +143,11 @@
             self.table.apply_list(servers)
             await trio.sleep(self.interval_s * self.random.uniform(0.75, 1.25))
 
-    async def follow_notices(self) -> None:
-        """Follow the notices over one connection after the other.
+    async def run_notice_watch(self) -> None:
+        """Watch reclaim notices, and reconnect when a watch ends.
 
-        A new watch starts with the notices that are open, so none is missed
-        between two connections.
+        A new watch starts with the pending notices, so none is missed between two
+        connections.
         """
         backoff = Backoff(self.random)
         while True:
@@ -160,6 +160,6 @@
                 ended = notices.ended
             WATCH_ENDS.add(reason=ended)
             log.warning(f"notice watch ended: {ended}")
-            if trio.current_time() - started_s >= STABLE_S:
+            if trio.current_time() - started_s >= STABLE_WATCH_S:
                 backoff.succeed()
             await trio.sleep(backoff.next_delay_s())
--- a/src/rosemaryknot/process/safeguards.py
+++ b/src/rosemaryknot/process/safeguards.py
@@ -1,7 +1,8 @@
-"""Switches of safeguards, which only tests may turn off.
+"""Switches that disable safeguards in tests.
 
-No setting leads here: a process builds `Safeguards()` with everything on. The fault
-runner turns one off to prove that it would find the fault which that one prevents.
+They cannot be configured: a process creates `Safeguards()` with all of them enabled.
+The fault runner disables one to verify that it detects the fault that the safeguard
+prevents.
 """
 
 from dataclasses import dataclass
@@ -11,29 +12,29 @@
 
 @dataclass(slots=True)
 class Safeguards:
-    """Safeguards by name; all are on in a running system.
+    """Safeguards by name; all are enabled in a running system.
 
     Attributes
     ----------
     claim_copy : bool
-        A claim or closing is copied to a peer before it counts.
+        A claim, or its closing, is replicated to a peer before it takes effect.
     close_attempts : bool
-        A refusal "not run" closes earlier attempts first.
+        Earlier attempts are closed before a request is refused with "not run".
     lineage_check : bool
-        Text is spliced only within one lineage.
+        Text is joined only within one lineage.
     id_check : bool
-        A frame with another request's id reaches nobody.
+        A frame with the id of another request is discarded.
     leaving_mark : bool
-        A server known to be leaving gets no new work.
+        A server known to be draining gets no new requests.
     standby_copy : bool
-        An accepted long request is copied to another node, and handed over when
-        its entry leaves.
+        An accepted long request is replicated to another node, and handed over when
+        its entry drains.
     lease_margin : bool
-        The holder of a lease counts its time from before the write was sent, less
-        a margin.
+        The holder of a lease measures its duration from before the write was sent,
+        less a margin.
     additive_first : bool
-        A new holder takes nothing away before what it reads back is stable, and
-        never without the store's record of it.
+        A new holder removes nothing until the state that it reads back is stable,
+        and never without a record of it in the store.
     """
 
     claim_copy: bool = True
--- a/src/rosemaryknot/process/scaling_duty.py
+++ b/src/rosemaryknot/process/scaling_duty.py
@@ -245,8 +245,8 @@
         for state in states:
             entry = state.entry
             existing = by_zone.setdefault(entry.zone, ZoneServers())
-            if state.is_leaving:
-                if entry.is_reclaimable and entry.leaves_s is not None:
+            if state.is_draining:
+                if entry.is_reclaimable and entry.shutdown_after_s is not None:
                     self.exhausted_until_s[service.name, entry.zone] = (
                         now_s + EXHAUSTED_ZONE_TTL_S
                     )
--- a/src/rosemaryknot/process/server_distributor.py
+++ b/src/rosemaryknot/process/server_distributor.py
@@ -15,7 +15,11 @@
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.peers import PeerSet
 from rosemaryknot.process.servers import ServerTable
-from rosemaryknot.values.control import LeavingMarkTaken, ServersFetch, ServersSame
+from rosemaryknot.values.control import (
+    LeavingMarkApplied,
+    ServersFetch,
+    ServersUnchanged,
+)
 from rosemaryknot.values.messages import Message
 from rosemaryknot.values.servers import LeavingMark, ServersPush
 
@@ -121,16 +125,16 @@
         """
         response = await self.peers.call(name, mark, MARK_TIMEOUT_S)
         if isinstance(response, CallFailed):
-            await self.peers.call_around(name, mark, MARK_TIMEOUT_S)
+            await self.peers.call_via_peers(name, mark, MARK_TIMEOUT_S)
 
     async def handle_mark(
         self, mark: LeavingMark, link: MessageLink
-    ) -> LeavingMarkTaken:
+    ) -> LeavingMarkApplied:
         """Apply a mark from a peer or from an entry of this node."""
         if link.hello.role != "entry":
             self.sent_marks.add(mark.instance)
         self.table.apply_mark(mark)
-        return LeavingMarkTaken()
+        return LeavingMarkApplied()
 
     async def handle_fetch(self, fetch: ServersFetch, link: MessageLink) -> Message:
         """Respond to a peer with the servers known here, if its table differs.
@@ -142,7 +146,7 @@
         """
         push = self.table.to_push()
         if fetch.digest == self.digest() and not self.table.absent_since_s:
-            return ServersSame(push.listed_age_s)
+            return ServersUnchanged(push.listed_age_s)
         for mark in self.table.leaving_marks():
             await link.send(mark)
         return push
@@ -176,12 +180,12 @@
         response = await self.peers.call(
             name, ServersFetch(self.digest()), CALL_TIMEOUT_S
         )
-        if isinstance(response, ServersSame):
+        if isinstance(response, ServersUnchanged):
             self.apply_same(response)
         elif isinstance(response, ServersPush):
             self.apply_push(response, name)
 
-    def apply_same(self, same: ServersSame) -> None:
+    def apply_same(self, same: ServersUnchanged) -> None:
         """Adopt the age of the peer's list, which names the same servers."""
         listed_s = trio.current_time() - same.listed_age_s
         if listed_s > self.table.listed_s:
--- a/src/rosemaryknot/process/server_state.py
+++ b/src/rosemaryknot/process/server_state.py
@@ -97,7 +97,7 @@
         return self.entry.incarnation
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether the server accepts no new requests."""
         return self.has_announced_drain or self.is_removed
 
@@ -108,7 +108,7 @@
 
     def accepts_requests(self, now_s: float) -> bool:
         """Return whether the server may get new requests."""
-        return not self.is_leaving and now_s < self.removal_deadline_s
+        return not self.is_draining and now_s < self.removal_deadline_s
 
     def load(self) -> tuple[int, int]:
         """Return the requests and pending prefill tokens of all nodes."""
--- a/src/rosemaryknot/process/settings.py
+++ b/src/rosemaryknot/process/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a process: a JSON file, checked as a whole.
+"""Settings of a process, loaded from a JSON file and validated as a whole.
 
-The classes are the schema: pydantic reads their annotations, refuses unknown keys
-and reports all errors at once. A later part adds its limits to `Limits`.
+The classes define the schema: pydantic uses their annotations, rejects unknown keys
+and reports all errors together.
 """
 
 import ipaddress
@@ -24,8 +24,8 @@
 from rosemaryknot.process.settings_errors import (
     SettingsError,
     check_json,
-    error_text,
-    errors_of,
+    convert_errors,
+    os_error_text,
 )
 from rosemaryknot.values.nodes import Address
 
@@ -37,7 +37,7 @@
     "SettingsError",
     "load_settings",
     "parse_address",
-    "read_checked",
+    "read_validated",
     "read_secret",
     "require_listeners",
 ]
@@ -47,12 +47,12 @@
 
 
 def parse_address(value: Any) -> Address:
-    """Parse an address that names its host by IP number.
+    """Parse an address whose host is an IP address.
 
     Parameters
     ----------
     value : object
-        What the settings hold.
+        Value in the settings.
 
     Returns
     -------
@@ -62,7 +62,7 @@
     Raises
     ------
     ValueError
-        If the value is anything else.
+        If the value is not such an address.
 
     Examples
     --------
@@ -95,16 +95,16 @@
 @with_config(STRICT)
 @dataclass(slots=True)
 class Listen:
-    """Where a process listens.
+    """Addresses at which a process listens.
 
     Attributes
     ----------
     callers : Address or None
-        Callers' API of an entry.
+        API of an entry for callers.
     operators : Address or None
-        Operators' API of an agent.
+        API of an agent for operators.
     links : Address or None
-        Message links of an agent: its entries and its peers.
+        Message links of an agent with its entries and peers.
     """
 
     callers: AddressText | None = None
@@ -115,14 +115,14 @@
 @with_config(STRICT)
 @dataclass(slots=True)
 class LogSettings:
-    """How a process logs.
+    """Log settings.
 
     Attributes
     ----------
     format : str
-        ``text`` for people, ``json`` for programs.
+        ``text`` for human readers or ``json`` for programs.
     level : str
-        The lowest level that is written.
+        Minimum level of the lines that are written.
     """
 
     format: Literal["text", "json"] = "text"
@@ -132,28 +132,30 @@
 @with_config(STRICT)
 @dataclass(slots=True)
 class Limits:
-    """Bounds that keep one caller or peer from using up the process.
+    """Limits that keep one caller or peer from exhausting the process.
 
     Attributes
     ----------
     max_body_bytes : int
-        Largest request body that is read.
+        Maximum size of a request body.
     body_timeout_s : float
-        Longest time a caller may take to send a body, in seconds.
+        Maximum time for a caller to send a body, in seconds.
     max_connections : int
-        Connections of callers that an entry handles at once; the limit on the
-        process's open files has to allow them.
+        Maximum number of concurrent connections of callers to an entry; the open
+        file limit of the process must allow them.
     max_requests_in_flight : int
-        Requests that an entry works on at once.
+        Maximum number of concurrent requests at an entry.
     max_generations : int
-        Accepted model requests that an entry holds, running or kept for pick-up.
+        Maximum number of accepted model requests that an entry holds, running or
+        stored for pick-up.
     kept_answer_s : float
-        How long a finished answer is held for pick-up, in seconds.
+        How long a completed response is stored for pick-up, in seconds.
     not_ready_s : float
-        How long a planned stop answers ``/readyz`` with 503 at least, so that the
-        balancer sees it before connections are refused, in seconds.
+        Minimum time for which ``/readyz`` responds with 503 in a graceful shutdown,
+        so that the load balancer sees it before connections are refused, in seconds.
     drain_timeout_s : float
-        Longest wait of a planned stop for requests in flight, in seconds.
+        Maximum time for which a graceful shutdown waits for requests in flight, in
+        seconds.
     """
 
     max_body_bytes: Bytes = 1024 * 1024
@@ -174,29 +176,29 @@
     Attributes
     ----------
     node : str
-        Name of the node; the same after a restart.
+        Name of the node, which must not change on a restart.
     zone : str
         Availability zone.
     region : str
-        Region; one configuration object each.
+        Region. Each region has one configuration object.
     listen : Listen
-        Where the process listens.
+        Addresses at which the process listens.
     agent : Address
-        Link address of the node's agent, which the entry dials.
+        Link address of the agent of the node, to which the entry connects.
     peers : list of Address
         Link addresses of other agents.
     platform : Address
-        The platform's HTTP interface.
+        Address of the HTTP API of the platform.
     cluster_key_file : str or None
-        File that holds the cluster key, relative to the settings file.
+        Path of the file with the cluster key, relative to the settings file.
     cluster_key_env : str or None
-        Environment variable that holds the cluster key, where no file does.
+        Environment variable with the cluster key, if there is no file.
     log : LogSettings
-        How the process logs.
+        Log settings.
     limits : Limits
-        Bounds on what callers and peers may use up.
+        Limits on the resources that callers and peers use.
     cluster_key : bytes
-        The shared secret of the message links; not a setting, never shown.
+        Shared secret of the message links; not a setting and never displayed.
     """
 
     node: Name
@@ -215,9 +217,10 @@
 
 @cache
 def settings_adapter() -> TypeAdapter:
-    """Return what checks them; made where it is used, since a gateway node never does.
+    """Return the validator of the settings, created on first use.
 
-    It took 0.02 s of the 0.4 s of processor time that loading a node takes.
+    A gateway node never needs it, and creating it took 0.02 s of the 0.4 s of
+    processor time for loading a node.
     """
     return TypeAdapter(Settings)
 
@@ -225,23 +228,23 @@
 def read_secret(
     file: str | None, env: str | None, folder: Path, name: str
 ) -> bytes | SettingsError:
-    """Read a secret from a file or from the environment.
+    """Read a secret from a file or an environment variable.
 
     Parameters
     ----------
     file : str or None
         Path of the file, relative to ``folder``.
     env : str or None
-        Name of the environment variable, used where no file is given.
+        Name of the environment variable, used if no file is given.
     folder : pathlib.Path
-        Folder of the settings file.
+        Directory of the settings file.
     name : str
-        The settings' name of the secret, such as ``cluster_key``.
+        Name of the secret in the settings, such as ``cluster_key``.
 
     Returns
     -------
     secret : bytes or SettingsError
-        The secret without white space around it, or why there is none.
+        The secret without surrounding whitespace, or why it cannot be read.
     """
     if (file is None) == (env is None):
         return SettingsError(f"{name}_file", f"give either this or {name}_env")
@@ -252,7 +255,7 @@
         try:
             secret = (folder / file).read_bytes()
         except (OSError, ValueError) as error:
-            return SettingsError(path, f"cannot be read: {error_text(error)}")
+            return SettingsError(path, f"cannot be read: {os_error_text(error)}")
     secret = secret.strip()
     if len(secret) < MIN_KEY_BYTES:
         return SettingsError(path, f"must hold at least {MIN_KEY_BYTES} bytes")
@@ -260,19 +263,19 @@
 
 
 def require_listeners(settings: Settings, names: Sequence[str]) -> list[SettingsError]:
-    """Return an error for each listener that a program needs and lacks.
+    """Return an error for each required listener that is missing.
 
     Parameters
     ----------
     settings : Settings
-        Checked settings.
+        Validated settings.
     names : sequence of str
-        Fields of `Listen`.
+        Required fields of `Listen`.
 
     Returns
     -------
     errors : list of SettingsError
-        Empty where nothing is missing.
+        Empty if nothing is missing.
     """
     return [
         SettingsError(f"listen.{name}", "is missing; this program needs it")
@@ -281,36 +284,36 @@
     ]
 
 
-def read_checked(path: Path | str, adapter: TypeAdapter) -> Any:
-    """Read a JSON file into checked classes.
+def read_validated(path: Path | str, adapter: TypeAdapter) -> Any:
+    """Read and validate a JSON file.
 
     Parameters
     ----------
     path : pathlib.Path or str
         The JSON file.
     adapter : pydantic.TypeAdapter
-        Of the classes.
+        Validator of the settings class.
 
     Returns
     -------
     settings : object or list of SettingsError
-        Whole settings, or everything that is wrong.
+        Valid settings, or all errors.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, ValueError) as error:
-        return [SettingsError("", f"cannot be read: {error_text(error)}")]
-    fault = check_json(text)
-    if fault is not None:
-        return [fault]
+        return [SettingsError("", f"cannot be read: {os_error_text(error)}")]
+    error = check_json(text)
+    if error is not None:
+        return [error]
     try:
         return adapter.validate_json(text)
     except ValidationError as invalid:
-        return errors_of(invalid)
+        return convert_errors(invalid)
 
 
 def load_settings(path: Path | str) -> Settings | list[SettingsError]:
-    """Load and check a settings file.
+    """Load and validate a settings file.
 
     Parameters
     ----------
@@ -320,10 +323,10 @@
     Returns
     -------
     settings : Settings or list of SettingsError
-        Whole settings with the secrets read, or everything that is wrong.
+        Valid settings including the secrets, or all errors.
     """
     path = Path(path)
-    settings = read_checked(path, settings_adapter())
+    settings = read_validated(path, settings_adapter())
     if not isinstance(settings, Settings):
         return settings
     key = read_secret(
--- a/src/rosemaryknot/process/settings_errors.py
+++ b/src/rosemaryknot/process/settings_errors.py
@@ -1,4 +1,4 @@
-"""Faults of a settings file, in words and with their exact places."""
+"""Errors in a settings file with their messages and locations."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -7,7 +7,13 @@
 
 from pydantic import ValidationError
 
-__all__ = ["SettingsError", "check_json", "error_text", "errors_of", "path_text"]
+__all__ = [
+    "SettingsError",
+    "check_json",
+    "os_error_text",
+    "convert_errors",
+    "format_path",
+]
 
 MESSAGES = {
     "missing": "is missing",
@@ -24,15 +30,15 @@
 
 @dataclass(slots=True)
 class SettingsError:
-    """One fault of a settings file.
+    """One error in a settings file.
 
     Attributes
     ----------
     path : str
-        Exact place, such as ``listen.callers`` or ``peers[0]``; empty for the file
-        as a whole.
+        Location, such as ``listen.callers`` or ``peers[0]``; empty for the whole
+        file.
     reason : str
-        What is wrong. Never holds the value, which may be a secret.
+        Message, which never contains the value since that may be a secret.
     """
 
     path: str
@@ -42,14 +48,14 @@
         return f"{self.path}: {self.reason}" if self.path else self.reason
 
 
-def path_text(location: Sequence[str | int]) -> str:
-    """Return a place as people write it.
+def format_path(location: Sequence[str | int]) -> str:
+    """Return a location in dotted notation.
 
     Examples
     --------
-    >>> path_text(("peers", 0))
+    >>> format_path(("peers", 0))
     'peers[0]'
-    >>> path_text(("listen", "callers"))
+    >>> format_path(("listen", "callers"))
     'listen.callers'
     """
     text = ""
@@ -58,8 +64,8 @@
     return text.removeprefix(".")
 
 
-def reason_text(error: Mapping[str, Any]) -> str:
-    """Return one of pydantic's errors as a sentence without the value."""
+def error_reason(error: Mapping[str, Any]) -> str:
+    """Return the message for an error of pydantic, without the value."""
     known = MESSAGES.get(error["type"])
     if known is not None:
         return known
@@ -67,36 +73,36 @@
     return message.replace("Input should be", "must be", 1)
 
 
-def errors_of(invalid: ValidationError) -> list[SettingsError]:
-    """Return all of pydantic's errors as ours."""
+def convert_errors(invalid: ValidationError) -> list[SettingsError]:
+    """Convert the errors of a pydantic validation."""
     found = invalid.errors(include_url=False, include_input=False)
-    return [SettingsError(path_text(e["loc"]), reason_text(e)) for e in found]
+    return [SettingsError(format_path(e["loc"]), error_reason(e)) for e in found]
 
 
-def error_text(error: Exception) -> str:
-    """Return the system's words for an error, without path or value."""
+def os_error_text(error: Exception) -> str:
+    """Return the system message for an error, without path or value."""
     return getattr(error, "strerror", None) or type(error).__name__
 
 
-def refuse_repeated_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Build a JSON object, or refuse it when a key stands in it twice."""
+def reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    """Build a JSON object; raise `ValueError` for a duplicate key."""
     built = dict(pairs)
     if len(built) < len(pairs):
         keys = [key for key, _ in pairs]
-        twice = next(key for key in keys if keys.count(key) > 1)
-        # JSON readers keep the last of two; a person who edits the first one would
-        # see no effect and no message.
-        raise ValueError(f"{twice!r} stands twice in one object")
+        duplicate = next(key for key in keys if keys.count(key) > 1)
+        # JSON parsers keep the last of two equal keys. An operator who edits the first
+        # one would see neither an effect nor an error.
+        raise ValueError(f"{duplicate!r} is a duplicate key in one object")
     return built
 
 
 def check_json(text: str) -> SettingsError | None:
-    """Return what makes the text no JSON, or None."""
+    """Return the error if the text is invalid JSON, or None."""
     try:
-        json.loads(text, object_pairs_hook=refuse_repeated_keys)
+        json.loads(text, object_pairs_hook=reject_duplicate_keys)
     except json.JSONDecodeError as error:
-        place = f"line {error.lineno} column {error.colno}"
-        return SettingsError("", f"no JSON: {error.msg} at {place}")
+        position = f"line {error.lineno} column {error.colno}"
+        return SettingsError("", f"invalid JSON: {error.msg} at {position}")
     except (ValueError, RecursionError) as error:
-        return SettingsError("", f"no JSON: {error}")
+        return SettingsError("", f"invalid JSON: {error}")
     return None
--- a/src/rosemaryknot/process/settings_watch.py
+++ b/src/rosemaryknot/process/settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that are read again while a node runs."""
+"""Reloading of the settings while a node runs."""
 
 import signal
 from pathlib import Path
@@ -14,13 +14,13 @@
 
 __all__ = ["reload_settings", "watch_settings"]
 
-SETTINGS_CHECK_S = 1.0
+SETTINGS_CHECK_INTERVAL_S = 1.0
 
 log = logger("node")
 
 
 async def watch_settings(node: "GatewayNode", path: Path) -> None:
-    """Read the settings again at SIGHUP and when the file has changed."""
+    """Reload the settings on SIGHUP and when the file changes."""
     changed = trio.Event()
 
     async def wait_signal() -> None:
@@ -30,34 +30,34 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(wait_signal)
-        known = stamp_of(path)
+        last_version = file_version(path)
         while True:
-            with trio.move_on_after(SETTINGS_CHECK_S):
+            with trio.move_on_after(SETTINGS_CHECK_INTERVAL_S):
                 await changed.wait()
-            is_asked = changed.is_set()
+            is_requested = changed.is_set()
             changed = trio.Event()
-            stamp = stamp_of(path)
-            if is_asked or stamp != known:
-                known = stamp
+            version = file_version(path)
+            if is_requested or version != last_version:
+                last_version = version
                 reload_settings(node, path)
 
 
-def stamp_of(path: Path) -> tuple[int, int]:
-    """Return what changes with a file."""
+def file_version(path: Path) -> tuple[int, int]:
+    """Return the modification time and size of a file, zeros if it is unreadable."""
     try:
-        found = path.stat()
+        stat = path.stat()
     except OSError:
         return (0, 0)
-    return (found.st_mtime_ns, found.st_size)
+    return (stat.st_mtime_ns, stat.st_size)
 
 
 def reload_settings(node: "GatewayNode", path: Path) -> None:
-    """Take over what may change while the process runs: seeds and bounds."""
+    """Apply the settings that may change while the process runs: seeds and limits."""
     settings = load_node_settings(path)
     if not isinstance(settings, NodeSettings):
         for error in settings:
-            log.error("settings not taken over", error=str(error))
+            log.error("settings not reloaded", error=str(error))
         return
     node.apply_bounds(settings.bounds)
     node.peers.add_seeds(settings.seeds)
-    log.info("settings taken over", seeds=len(settings.seeds))
+    log.info("settings reloaded", seeds=len(settings.seeds))
--- a/src/rosemaryknot/process/standby.py
+++ b/src/rosemaryknot/process/standby.py
@@ -1,8 +1,8 @@
-"""Standby copies at the agent: places them, keeps those of others, takes over.
+"""Standby replicas of model requests at the agent: placement, storage and takeover.
 
-A copy is a proof of nothing: when the relaying entry only seems dead, two entries
-work on a request. That costs tokens and never mixes an answer, since both hold the
-same lineage and each goes on from text that it has itself.
+Holding a replica confirms nothing about the relaying entry. If that entry only seems
+to have failed, two entries work on the request. This costs tokens but never mixes
+responses, since both use the same lineage and each continues from its own text.
 """
 
 import random
@@ -17,226 +17,242 @@
 from rosemaryknot.process.metrics import counter, gauge
 from rosemaryknot.process.peers import PeerSet
 from rosemaryknot.process.standby_finder import StandbyFinder
-from rosemaryknot.process.standby_table import HeldCopy, StandbyTable
+from rosemaryknot.process.standby_table import HeldReplica, StandbyTable
 from rosemaryknot.values.messages import encode_message
 from rosemaryknot.values.nodes import Address
 from rosemaryknot.values.standby import (
     AdoptGeneration,
     GenerationAdopted,
+    StandbyAccepted,
     StandbyAck,
     StandbyBatch,
     StandbyCopy,
     StandbyProbe,
     StandbyProbed,
-    StandbyTaken,
     StandbyUpdate,
-    are_tokens,
-    read_inner,
+    decode_nested,
+    is_token_list,
 )
 
-__all__ = ["StandbyKeeper"]
+__all__ = ["StandbyManager"]
 
-MAX_TRIES = 4
-PLACE_TIMEOUT_S = 0.4
-TAKE_TIMEOUT_S = 0.8
+MAX_PLACEMENT_ATTEMPTS = 4
+PLACEMENT_TIMEOUT_S = 0.4
+TAKEOVER_TIMEOUT_S = 0.8
 BATCH_TIMEOUT_S = 0.5
 ADOPT_TIMEOUT_S = 0.5
 PROBE_TIMEOUT_S = 0.8
-# Entries speak at least each second: two that are missing are worth a question.
-SILENT_S = 2.0
-# How long a relay may be silent without any proof that it is gone.
-UNPROVEN_S = 8.0
-ENTRY_SILENT_S = 3.0
+# Entries report at least each second; the relay is probed after two missing reports.
+SILENCE_TIMEOUT_S = 2.0
+# Silence after which a relay is taken over without confirmation that it stopped.
+UNCONFIRMED_TAKEOVER_S = 8.0
+ENTRY_SILENCE_TIMEOUT_S = 3.0
 DIAL_TIMEOUT_S = 1.0
-WATCH_S = 0.25
+RELAY_CHECK_INTERVAL_S = 0.25
 
 log = logger("standby")
-held_gauge = gauge("standby_copies", "Copies of other nodes' model requests.")
-placed = counter("standby_placed_total", "Copies that were to be placed, by result.")
-takeovers = counter("standby_takeovers_total", "Requests taken over, by result.")
+replicas_held_gauge = gauge("standby_copies", "Copies of other nodes' model requests.")
+placements_counter = counter(
+    "standby_placed_total", "Copies that were to be placed, by result."
+)
+takeovers_counter = counter(
+    "standby_takeovers_total", "Requests taken over, by result."
+)
 
 
 class RelayState(Enum):
-    """What is known of an entry that has been silent."""
+    """State of an entry that has been silent."""
 
     ALIVE = "alive"
-    GONE = "gone"
+    STOPPED = "gone"
     SILENT = "silent"
 
 
-class StandbyKeeper:
-    """The agent's part in standby copies.
+class StandbyManager:
+    """Places, stores and takes over standby replicas at the agent.
 
     Parameters
     ----------
     peers : PeerSet
-        The other nodes and this node's entries.
+        The other nodes and the entries of this node.
     handlers : Handlers
         Handlers of the agent's links.
-    is_leaving : callable
-        Tells of a node's name whether its instance is known to be leaving.
+    is_draining : callable
+        Returns whether the instance of a node, given by name, is known to drain.
     rng : random.Random
         For the choice of standbys.
 
     Attributes
     ----------
     table : StandbyTable
-        Copies of requests that other nodes relay.
+        Replicas of requests that other nodes relay.
     finder : StandbyFinder
-        Finds requests for pick-ups.
+        Finds requests that callers pick up.
     is_stopping : bool
-        Whether this node stops: it keeps no copies and takes nothing over.
+        Whether this node shuts down and so stores no replicas and takes over no
+        requests.
     """
 
     def __init__(
         self,
         peers: PeerSet,
         handlers: Handlers,
-        is_leaving: Callable[[str], bool],
+        is_draining: Callable[[str], bool],
         rng: random.Random,
     ) -> None:
         self.peers = peers
-        self.is_leaving = is_leaving
+        self.is_draining = is_draining
         self.rng = rng
         self.table = StandbyTable()
-        self.finder = StandbyFinder(peers, handlers, self.table, is_leaving)
+        self.finder = StandbyFinder(peers, handlers, self.table, is_draining)
         self.is_stopping = False
         self.started_s = trio.current_time()
-        self.taking: set[tuple[str, int]] = set()
-        handlers.on(StandbyCopy)(self.handle_copy)
+        self.checking: set[tuple[str, int]] = set()
+        handlers.on(StandbyCopy)(self.handle_replica)
         handlers.on(StandbyBatch)(self.handle_batch)
         handlers.on(StandbyProbe)(self.handle_probe)
 
-    # Placing a copy
+    # Placement of replicas
 
-    async def handle_copy(self, copy: StandbyCopy, link: MessageLink) -> StandbyTaken:
-        """Place a copy of our entry's, or keep a peer's."""
+    async def handle_replica(
+        self, replica: StandbyCopy, link: MessageLink
+    ) -> StandbyAccepted:
+        """Place a replica for our entry, or store one for a peer."""
         if link.hello.role == "entry":
-            copy.relay = self.peers.node.name
-            copy.incarnation = link.hello.incarnation
-            return await self.place(copy)
-        return await self.keep(copy)
+            replica.relay = self.peers.node.name
+            replica.incarnation = link.hello.incarnation
+            return await self.place(replica)
+        return await self.store_replica(replica)
 
-    async def keep(self, copy: StandbyCopy) -> StandbyTaken:
-        """Keep a peer's copy, or go on with its request at once."""
+    async def store_replica(self, replica: StandbyCopy) -> StandbyAccepted:
+        """Store a replica for a peer, or continue its request immediately."""
         name = self.peers.node.name
-        is_able = bool(self.peers.entries) and are_tokens(copy.tokens)
-        if self.is_stopping or not is_able:
-            return StandbyTaken()
-        if copy.take_over:
-            if not await self.adopt(copy):
-                return StandbyTaken()
-            self.table.remove((copy.customer, copy.request))
-            return StandbyTaken(name)
-        is_kept = self.table.add(copy)
-        held_gauge.set(len(self.table.copies))
-        return StandbyTaken(name if is_kept else "")
-
-    def candidates(self, copy: StandbyCopy) -> list[str]:
-        """Return the nodes to ask, other zones before our own."""
+        can_adopt = bool(self.peers.entries) and is_token_list(replica.tokens)
+        if self.is_stopping or not can_adopt:
+            return StandbyAccepted()
+        if replica.take_over:
+            if not await self.adopt(replica):
+                return StandbyAccepted()
+            self.table.remove((replica.customer, replica.request))
+            return StandbyAccepted(name)
+        is_stored = self.table.add(replica)
+        replicas_held_gauge.set(len(self.table.replicas))
+        return StandbyAccepted(name if is_stored else "")
+
+    def candidates(self, replica: StandbyCopy) -> list[str]:
+        """Return the candidate standbys, with other zones before our own."""
         nodes = [
             node
             for node in self.peers.nodes()
-            if not self.is_leaving(node.name)
-            and node.name not in (copy.relay, copy.avoided)
+            if not self.is_draining(node.name)
+            and node.name not in (replica.relay, replica.avoided)
         ]
         self.rng.shuffle(nodes)
         nodes.sort(
             key=lambda node: (
-                node.name != copy.preferred,
+                node.name != replica.preferred,
                 node.zone == self.peers.node.zone,
             )
         )
         return [node.name for node in nodes]
 
-    async def place(self, copy: StandbyCopy) -> StandbyTaken:
-        """Let the first node that answers keep a copy, or take it over."""
-        timeout_s = TAKE_TIMEOUT_S if copy.take_over else PLACE_TIMEOUT_S
-        for name in self.candidates(copy)[:MAX_TRIES]:
-            answer = await self.peers.call(name, copy, timeout_s)
-            if isinstance(answer, CallFailed) and copy.take_over:
-                answer = await self.peers.call_around(name, copy, timeout_s)
-            if isinstance(answer, StandbyTaken) and answer.node:
-                placed.add(result="placed")
-                return answer
-        placed.add(result="none")
-        log.warning("no standby answers: goes on without a copy", request=copy.request)
-        return StandbyTaken()
-
-    # Text
+    async def place(self, replica: StandbyCopy) -> StandbyAccepted:
+        """Have the first responding candidate store a replica or take over."""
+        timeout_s = TAKEOVER_TIMEOUT_S if replica.take_over else PLACEMENT_TIMEOUT_S
+        for name in self.candidates(replica)[:MAX_PLACEMENT_ATTEMPTS]:
+            response = await self.peers.call(name, replica, timeout_s)
+            if isinstance(response, CallFailed) and replica.take_over:
+                response = await self.peers.call_via_peers(name, replica, timeout_s)
+            if isinstance(response, StandbyAccepted) and response.node:
+                placements_counter.add(result="placed")
+                return response
+        placements_counter.add(result="none")
+        log.warning(
+            "no standby accepted the replica; continuing without one",
+            request=replica.request,
+        )
+        return StandbyAccepted()
+
+    # Text updates
 
     async def handle_batch(self, batch: StandbyBatch, link: MessageLink) -> StandbyAck:
-        """Pass our entry's batch on, or take a peer's in."""
+        """Forward a batch of our entry, or apply a batch of a peer."""
         if link.hello.role != "entry":
-            return self.take_batch(batch)
-        answer = await self.peers.call(batch.standby, batch, BATCH_TIMEOUT_S)
-        if isinstance(answer, StandbyAck):
-            return answer
+            return self.apply_batch(batch)
+        response = await self.peers.call(batch.standby, batch, BATCH_TIMEOUT_S)
+        if isinstance(response, StandbyAck):
+            return response
         return StandbyAck(is_reached=False)
 
-    def take_batch(self, batch: StandbyBatch) -> StandbyAck:
-        """Add a batch's text to the copies."""
-        self.table.note_heard((batch.relay, batch.incarnation))
+    def apply_batch(self, batch: StandbyBatch) -> StandbyAck:
+        """Apply the text updates of a batch to the replicas."""
+        self.table.record_report((batch.relay, batch.incarnation))
         missing = []
         for payload in batch.updates:
-            update = read_inner(payload, StandbyUpdate)
+            update = decode_nested(payload, StandbyUpdate)
             if update is None:
                 continue
             if self.is_stopping or not self.table.apply(update):
                 missing.append([update.customer, update.request])
         return StandbyAck(missing)
 
-    # Taking over
+    # Takeover
 
     async def run(self) -> None:
-        """Watch the relays of the copies until cancelled."""
+        """Check the relays of the replicas until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(WATCH_S)
+                await trio.sleep(RELAY_CHECK_INTERVAL_S)
                 self.table.purge(trio.current_time())
-                held_gauge.set(len(self.table.copies))
+                replicas_held_gauge.set(len(self.table.replicas))
                 if self.is_stopping:
                     continue
-                for relay, copies in self.table.silent(SILENT_S).items():
-                    if relay not in self.taking:
-                        self.taking.add(relay)
-                        nursery.start_soon(self.check_relay, relay, copies)
-
-    async def check_relay(self, relay: tuple[str, int], copies: list[HeldCopy]) -> None:
-        """Ask after a silent entry; take its requests over unless it lives."""
+                for relay, replicas in self.table.find_silent_relays(
+                    SILENCE_TIMEOUT_S
+                ).items():
+                    if relay not in self.checking:
+                        self.checking.add(relay)
+                        nursery.start_soon(self.check_relay, relay, replicas)
+
+    async def check_relay(
+        self, relay: tuple[str, int], replicas: list[HeldReplica]
+    ) -> None:
+        """Probe a silent entry; take over its requests unless it is alive."""
         try:
-            state = await self.relay_state(relay, copies[0].copy.address)
+            state = await self.check_relay_state(relay, replicas[0].replica.address)
             if state is RelayState.ALIVE:
-                self.table.note_heard(relay)
+                self.table.record_report(relay)
                 return
-            for held in copies:
-                if state is RelayState.GONE or is_due(held):
+            for held in replicas:
+                if state is RelayState.STOPPED or is_takeover_due(held):
                     await self.take_over(held)
-            await trio.sleep(WATCH_S)
+            await trio.sleep(RELAY_CHECK_INTERVAL_S)
         finally:
-            self.taking.discard(relay)
+            self.checking.discard(relay)
 
-    async def relay_state(self, relay: tuple[str, int], address: str) -> RelayState:
-        """Find out about a silent entry, over new connections too.
+    async def check_relay_state(
+        self, relay: tuple[str, int], address: str
+    ) -> RelayState:
+        """Determine the state of a silent entry, also over new connections.
 
-        An open link can go silent for good while new ones work. Only the word of
-        its agent, a mark of its instance, or a refused connection proves that the
-        entry is gone. Going on without a proof would do the work of a whole zone
-        twice whenever that zone is cut off.
+        An open link can go silent permanently while new connections work. Only a
+        response of its agent, a draining mark of its instance, or a refused
+        connection confirms that the entry stopped. Taking over without confirmation
+        would duplicate the work of a whole zone during a network partition.
         """
         node, incarnation = relay
         probe = StandbyProbe(incarnation)
-        answer = await self.peers.call(node, probe, PROBE_TIMEOUT_S)
-        if isinstance(answer, CallFailed):
-            answer = await self.peers.call_around(node, probe, PROBE_TIMEOUT_S)
-        if isinstance(answer, StandbyProbed):
-            return RelayState.ALIVE if answer.is_alive else RelayState.GONE
-        if self.is_leaving(node) or await self.is_refused(address):
-            return RelayState.GONE
+        response = await self.peers.call(node, probe, PROBE_TIMEOUT_S)
+        if isinstance(response, CallFailed):
+            response = await self.peers.call_via_peers(node, probe, PROBE_TIMEOUT_S)
+        if isinstance(response, StandbyProbed):
+            return RelayState.ALIVE if response.is_alive else RelayState.STOPPED
+        if self.is_draining(node) or await self.is_refused(address):
+            return RelayState.STOPPED
         return RelayState.SILENT
 
     async def is_refused(self, address: str) -> bool:
-        """Tell whether nobody listens any more where an entry did."""
+        """Return whether connections to the address of an entry are refused."""
         try:
             with trio.move_on_after(DIAL_TIMEOUT_S):
                 stream = await self.peers.network.dial(Address.from_text(address))
@@ -250,51 +266,54 @@
     async def handle_probe(
         self, probe: StandbyProbe, link: MessageLink
     ) -> StandbyProbed:
-        """Tell whether one of our entries is there.
+        """Respond whether an entry of this node is alive.
 
-        An agent that has just started cannot know yet: its entries need a moment
-        to connect again.
+        An agent that has just started reports it as alive, since its entries need
+        time to reconnect.
         """
-        is_new = trio.current_time() - self.started_s < ENTRY_SILENT_S
-        is_there = any(
+        is_new = trio.current_time() - self.started_s < ENTRY_SILENCE_TIMEOUT_S
+        is_connected = any(
             entry.hello.incarnation == probe.incarnation
-            and entry.silence_s() < ENTRY_SILENT_S
+            and entry.silence_s() < ENTRY_SILENCE_TIMEOUT_S
             for entry in self.peers.entries
         )
-        return StandbyProbed(is_there or is_new)
+        return StandbyProbed(is_connected or is_new)
 
-    async def take_over(self, held: HeldCopy) -> None:
-        """Let our entry go on with a request, or that of another node."""
-        if held.outcome or self.table.copies.get(held.key) is not held:
+    async def take_over(self, held: HeldReplica) -> None:
+        """Have an entry of this node, or of another node, continue a request."""
+        if held.outcome or self.table.replicas.get(held.key) is not held:
             return
-        left_s = held.deadline_s - trio.current_time()
-        copy = replace(held.copy, left_s=max(0.0, left_s), take_over=True)
-        if not await self.adopt(copy):
-            if not (await self.place(copy)).node:
+        remaining_s = held.deadline_s - trio.current_time()
+        replica = replace(held.replica, left_s=max(0.0, remaining_s), take_over=True)
+        if not await self.adopt(replica):
+            if not (await self.place(replica)).node:
                 return
-        if self.table.copies.get(held.key) is held:
+        if self.table.replicas.get(held.key) is held:
             self.table.remove(held.key)
 
-    async def adopt(self, copy: StandbyCopy) -> bool:
-        """Let one of our entries go on with a request; tell whether one does."""
-        order = AdoptGeneration(encode_message(copy))
+    async def adopt(self, replica: StandbyCopy) -> bool:
+        """Have one of our entries continue a request; return whether one accepted."""
+        order = AdoptGeneration(encode_message(replica))
         for link in list(self.peers.entries):
-            answer = await link.call(order, ADOPT_TIMEOUT_S)
-            if isinstance(answer, GenerationAdopted) and answer.accepted:
-                takeovers.add(result="adopted")
+            response = await link.call(order, ADOPT_TIMEOUT_S)
+            if isinstance(response, GenerationAdopted) and response.accepted:
+                takeovers_counter.add(result="adopted")
                 log.info(
-                    f"took over from {copy.relay}",
-                    request=copy.request,
-                    emitted=len(copy.tokens),
+                    f"took over from {replica.relay}",
+                    request=replica.request,
+                    emitted=len(replica.tokens),
                 )
                 return True
-        takeovers.add(result="failed")
+        takeovers_counter.add(result="failed")
         return False
 
 
-def is_due(held: HeldCopy) -> bool:
-    """Tell whether a copy of a silent relay is to be taken over without a proof.
+def is_takeover_due(held: HeldReplica) -> bool:
+    """Return whether to take over from a silent relay without confirmation.
 
-    A pick-up shows that its caller has lost the relay too.
+    A pick-up request shows that the caller has lost the relay too.
     """
-    return held.is_wanted or trio.current_time() - held.heard_s > UNPROVEN_S
+    return (
+        held.is_pickup_requested
+        or trio.current_time() - held.last_report_s > UNCONFIRMED_TAKEOVER_S
+    )
--- a/src/rosemaryknot/process/standby_table.py
+++ b/src/rosemaryknot/process/standby_table.py
@@ -1,4 +1,4 @@
-"""Copies of accepted model requests that other nodes relay, bounded."""
+"""A bounded table of replicas of model requests that other nodes relay."""
 
 from dataclasses import dataclass
 
@@ -6,161 +6,163 @@
 
 from rosemaryknot.values.standby import StandbyCopy, StandbyUpdate
 
-__all__ = ["HeldCopy", "StandbyTable"]
+__all__ = ["HeldReplica", "StandbyTable"]
 
-MAX_COPIES = 4096
+MAX_REPLICAS = 4096
 MAX_BYTES = 64 * 1024 * 1024
-KEEP_ENDED_S = 120.0
-TOKEN_BYTES = 56
+ENDED_TTL_S = 120.0
+BYTES_PER_TOKEN = 56
 HANDED_OVER = "running"
-"""Outcome at its relay of a request that another entry goes on with."""
+"""Outcome that a relay reports for a request that another entry continues."""
 
-CopyKey = tuple[str, str]
+ReplicaKey = tuple[str, str]
 
 
 @dataclass(slots=True)
-class HeldCopy:
-    """One copy.
+class HeldReplica:
+    """One replica.
 
     Attributes
     ----------
-    copy : StandbyCopy
-        The request, with the text as far as it came.
+    replica : StandbyCopy
+        The request, with the text received so far.
     size : int
-        Bytes counted for it.
+        Estimated size in bytes.
     deadline_s : float
-        When the caller gives it up, in trio time.
-    heard_s : float
-        When its relay last spoke, in trio time.
+        Deadline of the caller, in trio time.
+    last_report_s : float
+        When its relay last reported, in trio time.
     outcome, reason, detail : str
-        How it ended; empty while it runs.
+        Result of the request; empty while it runs.
     ended_s : float
-        When it ended, in trio time.
-    is_wanted : bool
-        Whether a pick-up asked for it.
+        When the request ended, in trio time.
+    is_pickup_requested : bool
+        Whether a caller requested to pick it up.
     """
 
-    copy: StandbyCopy
+    replica: StandbyCopy
     size: int
     deadline_s: float
-    heard_s: float
+    last_report_s: float
     outcome: str = ""
     reason: str = ""
     detail: str = ""
     ended_s: float = 0.0
-    is_wanted: bool = False
+    is_pickup_requested: bool = False
 
     @property
-    def key(self) -> CopyKey:
-        """Customer and id."""
-        return self.copy.customer, self.copy.request
+    def key(self) -> ReplicaKey:
+        """Customer and request id."""
+        return self.replica.customer, self.replica.request
 
     @property
     def relay(self) -> tuple[str, int]:
         """Node and incarnation of the entry that relays it."""
-        return self.copy.relay, self.copy.incarnation
+        return self.replica.relay, self.replica.incarnation
 
 
 class StandbyTable:
-    """Copies by customer and id, bounded by count and bytes.
+    """Replicas by customer and request id, bounded by count and bytes.
 
-    A copy is kept until its end and `keep_ended_s` longer, so that an answer can be
-    picked up though its relay dies right after the end.
+    A replica is kept for `ended_ttl_s` after its request ended, so that the response
+    can be picked up even if its relay fails immediately after the end.
 
     Parameters
     ----------
-    max_copies : int
-        Most copies.
+    max_replicas : int
+        Maximum number of replicas.
     max_bytes : int
-        Most bytes, by estimate.
-    keep_ended_s : float
-        How long a copy outlives the end of its request, in seconds.
+        Maximum estimated size in bytes.
+    ended_ttl_s : float
+        How long a replica is kept after the end of its request, in seconds.
     """
 
     def __init__(
         self,
-        max_copies: int = MAX_COPIES,
+        max_replicas: int = MAX_REPLICAS,
         max_bytes: int = MAX_BYTES,
-        keep_ended_s: float = KEEP_ENDED_S,
+        ended_ttl_s: float = ENDED_TTL_S,
     ) -> None:
-        self.max_copies = max_copies
+        self.max_replicas = max_replicas
         self.max_bytes = max_bytes
-        self.keep_ended_s = keep_ended_s
-        self.copies: dict[CopyKey, HeldCopy] = {}
+        self.ended_ttl_s = ended_ttl_s
+        self.replicas: dict[ReplicaKey, HeldReplica] = {}
         self.size = 0
 
-    def add(self, copy: StandbyCopy) -> bool:
-        """Keep a copy; tell whether there was room.
+    def add(self, replica: StandbyCopy) -> bool:
+        """Add a replica; return whether there was capacity for it.
 
-        A copy of the same lineage that holds more text is kept as it is.
+        Text that a stored replica of the same lineage has in addition is retained.
         """
-        key = copy.customer, copy.request
+        key = replica.customer, replica.request
         now_s = trio.current_time()
-        known = self.copies.get(key)
-        if known is not None and known.copy.lineage == copy.lineage:
-            if len(known.copy.tokens) > len(copy.tokens):
-                copy.tokens = known.copy.tokens
-        size = len(copy.body) + TOKEN_BYTES * copy.max_tokens
+        known = self.replicas.get(key)
+        if known is not None and known.replica.lineage == replica.lineage:
+            if len(known.replica.tokens) > len(replica.tokens):
+                replica.tokens = known.replica.tokens
+        size = len(replica.body) + BYTES_PER_TOKEN * replica.max_tokens
         self.remove(key)
         self.purge(now_s)
-        if len(self.copies) >= self.max_copies or self.size + size > self.max_bytes:
+        if len(self.replicas) >= self.max_replicas or self.size + size > self.max_bytes:
             return False
-        self.copies[key] = HeldCopy(copy, size, now_s + copy.left_s, now_s)
+        self.replicas[key] = HeldReplica(replica, size, now_s + replica.left_s, now_s)
         self.size += size
         return True
 
     def apply(self, update: StandbyUpdate) -> bool:
-        """Take in what is new of one copy; tell whether the copy is held.
+        """Apply a text update; return whether it applies to a stored replica.
 
-        Text is appended only where it joins on without a gap.
+        Text is appended only if it continues the stored text without a gap.
         """
-        held = self.copies.get((update.customer, update.request))
+        held = self.replicas.get((update.customer, update.request))
         if held is None:
             return False
         if update.outcome == HANDED_OVER:
             self.remove(held.key)
             return True
-        text = held.copy.tokens
+        text = held.replica.tokens
         if not 0 <= update.offset <= len(text):
             return False
         text += update.tokens[len(text) - update.offset :]
-        held.copy.server = update.server or held.copy.server
+        held.replica.server = update.server or held.replica.server
         if update.outcome and not held.outcome:
             held.outcome, held.reason = update.outcome, update.reason
             held.detail = update.detail
             held.ended_s = trio.current_time()
         return True
 
-    def note_heard(self, relay: tuple[str, int]) -> None:
-        """Note that an entry spoke."""
+    def record_report(self, relay: tuple[str, int]) -> None:
+        """Record that an entry reported."""
         now_s = trio.current_time()
-        for held in self.copies.values():
+        for held in self.replicas.values():
             if held.relay == relay:
-                held.heard_s = now_s
-
-    def silent(self, bound_s: float) -> dict[tuple[str, int], list[HeldCopy]]:
-        """Return the running copies whose relay has been silent, by relay."""
-        oldest_s = trio.current_time() - bound_s
-        found: dict[tuple[str, int], list[HeldCopy]] = {}
-        for held in self.copies.values():
-            if not held.outcome and held.heard_s <= oldest_s:
+                held.last_report_s = now_s
+
+    def find_silent_relays(
+        self, min_silence_s: float
+    ) -> dict[tuple[str, int], list[HeldReplica]]:
+        """Return the replicas of running requests with a silent relay, by relay."""
+        latest_report_s = trio.current_time() - min_silence_s
+        found: dict[tuple[str, int], list[HeldReplica]] = {}
+        for held in self.replicas.values():
+            if not held.outcome and held.last_report_s <= latest_report_s:
                 found.setdefault(held.relay, []).append(held)
         return found
 
-    def get(self, customer: str, request: str) -> HeldCopy | None:
-        """Return a customer's own copy, or None."""
+    def get(self, customer: str, request: str) -> HeldReplica | None:
+        """Return the replica of a request of a customer, or None."""
         self.purge(trio.current_time())
-        return self.copies.get((customer, request))
+        return self.replicas.get((customer, request))
 
-    def remove(self, key: CopyKey) -> None:
-        """Drop a copy, if it is there."""
-        held = self.copies.pop(key, None)
+    def remove(self, key: ReplicaKey) -> None:
+        """Remove a replica if it is stored."""
+        held = self.replicas.pop(key, None)
         if held is not None:
             self.size -= held.size
 
     def purge(self, now_s: float) -> None:
-        """Drop what nobody can want any more."""
-        for key, held in list(self.copies.items()):
-            over_s = held.ended_s if held.outcome else held.deadline_s
-            if now_s > over_s + self.keep_ended_s:
+        """Remove the replicas whose retention period is over."""
+        for key, held in list(self.replicas.items()):
+            end_s = held.ended_s if held.outcome else held.deadline_s
+            if now_s > end_s + self.ended_ttl_s:
                 self.remove(key)
--- a/src/rosemaryknot/process/store_watcher.py
+++ b/src/rosemaryknot/process/store_watcher.py
@@ -13,7 +13,7 @@
     ObjectChanged,
     PlatformFailed,
 )
-from rosemaryknot.values.store_changes import Changes, ChangeSource, HistoryGone
+from rosemaryknot.values.store_changes import Changes, ChangeSource, HistoryExpired
 
 __all__ = ["StoreWatcher"]
 
@@ -165,7 +165,7 @@
             # only grow in number; a list does not.
             self.must_list = self.is_single and outcome.reason == TIMEOUT
             await self.record_failure(outcome)
-        elif isinstance(outcome, HistoryGone):
+        elif isinstance(outcome, HistoryExpired):
             log.info("change history expired, listing again", kind=self.kind)
             await self.list_all()
         else:
--- a/src/rosemaryknot/replay/virtual_time.py
+++ b/src/rosemaryknot/replay/virtual_time.py
@@ -10,8 +10,8 @@
 from trio._core import _run as trio_scheduler
 from trio.testing import MockClock
 
-from rosemaryknot.process.decisions import remember_line
-from rosemaryknot.process.logs import LineWriter, hide_secrets, render_text
+from rosemaryknot.process.decisions import record_decision
+from rosemaryknot.process.logs import LineWriter, redact_secrets, render_text
 from rosemaryknot.replay.hosts import HostInstrument
 
 __all__ = ["DecisionLog", "run_in_virtual_time"]
@@ -47,8 +47,8 @@
         structlog.configure(
             processors=[
                 structlog.processors.add_log_level,
-                remember_line,
-                hide_secrets,
+                record_decision,
+                redact_secrets,
                 self.take,
             ],
             wrapper_class=structlog.make_filtering_bound_logger(INFO),
--- a/src/rosemaryknot/request/accounts.py
+++ b/src/rosemaryknot/request/accounts.py
@@ -7,7 +7,7 @@
 
 from rosemaryknot.process.limits.bucket import Bucket
 from rosemaryknot.request.budget_queue import BudgetQueue, Shortfall
-from rosemaryknot.values.limits import BudgetAsk, BudgetGrant
+from rosemaryknot.values.limits import BudgetGrant, BudgetRequest
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.values.outcomes import NotRun, Reason
 from rosemaryknot.version.tables import Limit
@@ -146,7 +146,7 @@
         tokens: float,
         slots: int,
         max_wait_s: float = 0.0,
-    ) -> BudgetAsk:
+    ) -> BudgetRequest:
         """Return the next budget request; tokens that it returns leave the account."""
         wanted = self.wanted_tokens()
         returned = self.tokens - min(self.tokens, wanted)
@@ -156,7 +156,7 @@
         is_recent = trio.current_time() - self.last_request_s < SPARE_SLOT_TTL_S
         self.slots = min(self.slots, self.used_slots + is_recent)
         is_short = tokens > 0 and self.tokens < tokens
-        return BudgetAsk(
+        return BudgetRequest(
             *key,
             node.name,
             node.incarnation,
@@ -172,7 +172,7 @@
         )
 
     def apply_grant(
-        self, request: BudgetAsk, grant: BudgetGrant, sent_s: float
+        self, request: BudgetRequest, grant: BudgetGrant, sent_s: float
     ) -> None:
         """Apply a grant; the lease starts when the budget request was sent."""
         self.lease_expiry_s = sent_s + grant.lease_s
@@ -191,12 +191,12 @@
             self.refused_tokens = 0 if grant.lacks_slots else request.needed_tokens
             self.rate = max(MIN_RATE_TOKENS_PER_S, grant.rate)
 
-    def start_fallback(self, request: BudgetAsk, grant: BudgetGrant | None) -> None:
+    def start_fallback(self, request: BudgetRequest, grant: BudgetGrant | None) -> None:
         """Use the fixed share until an owner grants budget again.
 
         Parameters
         ----------
-        request : BudgetAsk
+        request : BudgetRequest
             The budget request that was not granted.
         grant : BudgetGrant or None
             Reply of a node that may not grant; None if there was no reply.
--- a/src/rosemaryknot/request/adoption.py
+++ b/src/rosemaryknot/request/adoption.py
@@ -8,15 +8,15 @@
 from rosemaryknot.process.drain import Drain
 from rosemaryknot.request.generations import Generation
 from rosemaryknot.request.relay import ModelRelay
-from rosemaryknot.request.standby import StandbyCopies
-from rosemaryknot.request.standby_state import Copied
+from rosemaryknot.request.replica_state import ReplicatedGeneration
+from rosemaryknot.request.standby import StandbyReplicator
 from rosemaryknot.values.outcomes import NotRun, Running
 from rosemaryknot.values.requests import ModelRequest
 from rosemaryknot.values.standby import (
     AdoptGeneration,
     GenerationAdopted,
     StandbyCopy,
-    read_inner,
+    decode_nested,
 )
 
 __all__ = ["GenerationAdopter"]
@@ -29,7 +29,7 @@
     ----------
     relay : ModelRelay
         Relay that runs generations.
-    copies : StandbyCopies
+    copies : StandbyReplicator
         Replicates adopted generations to a standby.
     drain : Drain
         Counts adopted generations as in flight.
@@ -42,7 +42,7 @@
     def __init__(
         self,
         relay: ModelRelay,
-        copies: StandbyCopies,
+        copies: StandbyReplicator,
         drain: Drain,
         nursery: trio.Nursery,
         handlers: Handlers,
@@ -57,7 +57,7 @@
         self, order: AdoptGeneration, link: MessageLink
     ) -> GenerationAdopted:
         """Resume a request that another entry relayed."""
-        copy = read_inner(order.copy, StandbyCopy)
+        copy = decode_nested(order.copy, StandbyCopy)
         if copy is None or self.drain.is_stopping:
             return GenerationAdopted(False)
         known = self.relay.table.find(copy.customer, copy.request)
@@ -69,11 +69,13 @@
         generation = self.relay.prepare(request, copy.lineage, copy.tokens)
         if isinstance(generation, NotRun):
             return GenerationAdopted(False)
-        generation.tell(f"standby: went on for {copy.relay}")
+        generation.record_event(f"standby: went on for {copy.relay}")
         self.relay.begin(generation, is_resumed=True, server=copy.server)
         self.nursery.start_soon(self.track_in_flight, generation)
         if self.copies.is_on:
-            self.nursery.start_soon(self.copies.protect, Copied(generation))
+            self.nursery.start_soon(
+                self.copies.replicate, ReplicatedGeneration(generation)
+            )
         return GenerationAdopted(True)
 
     async def track_in_flight(self, generation: Generation) -> None:
--- a/src/rosemaryknot/request/attempts.py
+++ b/src/rosemaryknot/request/attempts.py
@@ -1,4 +1,4 @@
-"""One try of a generation on one server, with the watch over its silence."""
+"""One attempt of a generation on one server, with silence detection."""
 
 from dataclasses import dataclass
 
@@ -12,24 +12,25 @@
 
 __all__ = ["Attempt", "AttemptEnd", "Leave", "Moved", "Silent"]
 
-SILENT_STEPS = 50
+MAX_SILENT_STEPS = 50
 MIN_SILENCE_S = 0.2
 MIN_FIRST_SILENCE_S = 0.5
 PREFILL_TOKENS_PER_STEP = 64
-GRACE_S = 0.05
-MAX_STALLED_ASKS = 30
+IN_TRANSIT_GRACE_S = 0.05
+MAX_STALLED_CHECKS = 30
 
 
 @dataclass(slots=True)
 class Silent:
-    """The connection fell silent.
+    """The stream's connection stopped delivering data.
 
     Attributes
     ----------
     resume_at_server : bool
-        Whether the server answered a new connection and can go on with it.
+        Whether the server answered on a new connection, so that the attempt can be
+        resumed there.
     detail : str
-        What it said.
+        Result of the check, for logs.
     """
 
     resume_at_server: bool
@@ -38,14 +39,14 @@
 
 @dataclass(slots=True)
 class Moved:
-    """The KV cache is at another server.
+    """The KV cache was moved to another server.
 
     Attributes
     ----------
     target : BackendServer
-        Where it is.
+        Server that holds the KV cache.
     emitted : int
-        Answer tokens that it covers, besides the prompt.
+        Response tokens that it covers, in addition to the prompt.
     """
 
     target: BackendServer
@@ -54,12 +55,12 @@
 
 @dataclass(slots=True)
 class Leave:
-    """The stream is to go on elsewhere, since its server is leaving.
+    """The stream must continue on another server, since its server is draining.
 
     Attributes
     ----------
     restart : bool
-        Whether it is to be computed from its start; a baseline for measurements.
+        Whether to recompute the response from its start; a baseline for benchmarks.
     """
 
     restart: bool = False
@@ -69,46 +70,49 @@
 
 
 class Attempt:
-    """One try of a generation on one server.
+    """One attempt of a generation on one server.
 
     Parameters
     ----------
     generation : Generation
-        What is generated; tokens go to it as they come.
+        Generation that receives the tokens.
     server : BackendServer
-        Where.
+        Server of the attempt.
     load : ServerLoad
-        Load of the server, which counts this attempt.
+        Load of the server, including this attempt.
     engines : EngineClient
-        Makes the calls.
+        Client for the engines.
     step_time_s : float
-        Time of one engine step, in seconds.
+        Duration of one engine step, in seconds.
     prompt_tokens : float
-        Tokens of the prompt, by estimate.
+        Estimated number of prompt tokens.
     priority : int
         Engine priority; lower runs first.
     restart : bool
-        Whether to compute the answer from its start; see `Leave`.
+        Whether to recompute the response from its start; see `Leave`.
 
     Attributes
     ----------
     first_offset : int
-        Number of tokens that it began with.
+        Number of tokens emitted before this attempt.
     pending : int
-        Prompt and prefix tokens until the first token comes; 0 from then on.
-    heard : int
-        Reads of the connection that brought bytes.
+        Tokens of the prompt and the emitted prefix that wait for prefill; 0 after the
+        first token.
+    received_reads : int
+        Number of reads from the connection that returned data.
+    stalled_checks : int
+        Consecutive status checks without progress.
     started_s : float
-        When it began, in trio time.
+        Start time, in trio time.
     first_token_s : float
-        Time to its first token, in seconds; 0 before.
+        Time from the start to the first token, in seconds; 0 until then.
     end : AttemptEnd or None
-        How it ended.
+        Result; None while the attempt runs.
     ended : trio.Event
-        Set with `end`.
+        Set together with `end`.
     planned_deadline_s : float or None
-        Deadline of its leaving server that a move plan has dealt with, as seconds
-        of the epoch.
+        Deadline of the draining server for which a move plan was made, as Unix time
+        in seconds.
     """
 
     def __init__(
@@ -130,8 +134,8 @@
         self.prompt_tokens = prompt_tokens
         self.priority = priority
         self.restart = restart
-        self.heard = 0
-        self.stalled = 0
+        self.received_reads = 0
+        self.stalled_checks = 0
         self.pending = 1
         self.first_offset = len(generation.tokens)
         self.started_s = trio.current_time()
@@ -142,23 +146,25 @@
         self.scope = trio.CancelScope()
 
     async def run(self) -> AttemptEnd:
-        """Stream until the end, a silence, or a call of `stop`."""
-        call = self.call()
-        self.pending = max(1, round(self.prompt_tokens) + len(call.prefix))
+        """Stream until the response ends, it is silent, or `stop` is called."""
+        build_call = self.build_call()
+        self.pending = max(1, round(self.prompt_tokens) + len(build_call.prefix))
         self.load.began(self.pending)
         try:
             with self.scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self.watch)
-                    end = await self.engines.generate(self.server, call, self.take)
+                    nursery.start_soon(self.watch_silence)
+                    end = await self.engines.generate(
+                        self.server, build_call, self.receive_tokens
+                    )
                     self.stop(end)
         finally:
             self.load.prefilled(self.pending)
             self.load.ended()
         return self.end
 
-    def call(self) -> EngineCall:
-        """Return the call that goes on where the generation stands."""
+    def build_call(self) -> EngineCall:
+        """Return the engine call that continues the generation."""
         generation = self.generation
         request = generation.request
         limits = {"messages": request.messages, "max_tokens": request.max_tokens}
@@ -169,12 +175,12 @@
             {**request.body, **limits},
             [] if self.restart else generation.token_texts(),
             self.priority,
-            skip=len(generation.tokens) if self.restart else 0,
+            skip_tokens=len(generation.tokens) if self.restart else 0,
         )
 
-    def take(self, tokens: list[bytes]) -> None:
-        """Pass tokens on to the generation."""
-        self.heard += 1
+    def receive_tokens(self, tokens: list[bytes]) -> None:
+        """Append received tokens to the generation."""
+        self.received_reads += 1
         if not tokens:
             return
         if self.pending:
@@ -184,7 +190,7 @@
         self.generation.emit(tokens)
 
     def stop(self, end: AttemptEnd) -> None:
-        """End the attempt; a second end is ignored."""
+        """End the attempt; later calls are ignored."""
         if self.end is None:
             self.end = end
             self.ended.set()
@@ -192,63 +198,67 @@
 
     @property
     def has_token(self) -> bool:
-        """Whether a token has come, so that there is KV cache to export."""
+        """Whether a token was received, so that there is KV cache to export."""
         return not self.pending
 
     def ready_in_s(self) -> float:
-        """Return the time until its prefill is done, in seconds."""
+        """Return the estimated time until the prefill is done, in seconds."""
         return self.pending / PREFILL_TOKENS_PER_STEP * self.step_time_s
 
     def observed_step_s(self) -> float:
-        """Return the time between two tokens as it was here so far, in seconds."""
-        made = len(self.generation.tokens) - self.first_offset
+        """Return the step time, or the mean time between tokens here if it is longer.
+
+        Both are in seconds.
+        """
+        received = len(self.generation.tokens) - self.first_offset
         running_s = trio.current_time() - self.started_s - self.first_token_s
-        return max(self.step_time_s, running_s / made if made > 1 else 0.0)
+        return max(self.step_time_s, running_s / received if received > 1 else 0.0)
 
-    def silence_bound_s(self) -> float:
-        """Return how long nothing may come before we ask, in seconds."""
+    def silence_timeout_s(self) -> float:
+        """Return the silence after which the server is checked, in seconds."""
         if self.has_token:
-            return max(MIN_SILENCE_S, SILENT_STEPS * self.step_time_s)
-        steps = SILENT_STEPS + self.pending / PREFILL_TOKENS_PER_STEP
+            return max(MIN_SILENCE_S, MAX_SILENT_STEPS * self.step_time_s)
+        steps = MAX_SILENT_STEPS + self.pending / PREFILL_TOKENS_PER_STEP
         return max(MIN_FIRST_SILENCE_S, steps * self.step_time_s)
 
-    async def watch(self) -> None:
-        """Ask over a new connection whenever the stream has been silent.
+    async def watch_silence(self) -> None:
+        """Check the server over a new connection whenever the stream is silent.
 
-        An open connection can go silent for good while new ones work: its caller
-        would wait until the deadline for an answer that is long done. The server
-        itself, asked anew, tells a slow answer from a lost one.
+        An open connection can stop delivering data while new connections work; the
+        caller would then wait until the deadline for a response that is already
+        complete. A status request over a new connection distinguishes a slow response
+        from a lost connection.
         """
         while True:
-            heard = self.heard
-            await trio.sleep(self.silence_bound_s())
-            if self.heard != heard:
-                self.stalled = 0
+            last_reads = self.received_reads
+            await trio.sleep(self.silence_timeout_s())
+            if self.received_reads != last_reads:
+                self.stalled_checks = 0
                 continue
-            end = await self.judge(heard)
+            end = await self.check_server(last_reads)
             if end is not None:
                 self.stop(end)
                 return
 
-    async def judge(self, heard: int) -> Silent | None:
-        """Return how the attempt ends by what the server says, or None to wait on."""
+    async def check_server(self, last_reads: int) -> Silent | None:
+        """Query the server; return how the attempt ends, or None to keep waiting."""
         generation = self.generation
         status = await self.engines.status(self.server, generation.request_id)
-        if self.heard != heard:
+        if self.received_reads != last_reads:
             return None
         if status is None:
-            return Silent(False, "no answer on a new connection either")
+            return Silent(False, "no response on a new connection either")
         if status.status == "unknown":
             return Silent(True, "the server does not know the request")
         if status.status == "done" or status.offset > len(generation.tokens):
-            # What has just been sent may still be on its way.
-            await trio.sleep(GRACE_S)
-            if self.heard != heard:
+            # Tokens that were just sent may still be in transit.
+            await trio.sleep(IN_TRANSIT_GRACE_S)
+            if self.received_reads != last_reads:
                 return None
             return Silent(True, f"the server is at token {status.offset}")
         if status.status == "waiting":
             return None
-        self.stalled += 1
-        if self.stalled >= MAX_STALLED_ASKS:
-            return Silent(False, "the server does not go on")
+        self.stalled_checks += 1
+        if self.stalled_checks >= MAX_STALLED_CHECKS:
+            return Silent(False, "the server makes no progress")
         return None
--- a/src/rosemaryknot/request/claim_reports.py
+++ b/src/rosemaryknot/request/claim_reports.py
@@ -8,7 +8,7 @@
 from rosemaryknot.connection.links import CallFailed
 from rosemaryknot.process.metrics import gauge
 from rosemaryknot.values.claims import (
-    MAX_KEPT_BODY_BYTES,
+    MAX_STORED_BODY_BYTES,
     ResultRecord,
     ResultStored,
 )
@@ -108,7 +108,10 @@
     def add(self, result: ResultRecord) -> None:
         """Queue a result to be sent in the background."""
         size = len(result.body)
-        if size > MAX_KEPT_BODY_BYTES or self.waiting_bytes + size > MAX_WAITING_BYTES:
+        if (
+            size > MAX_STORED_BODY_BYTES
+            or self.waiting_bytes + size > MAX_WAITING_BYTES
+        ):
             result.body = b""
             result.is_whole = False
         if len(self.waiting) >= MAX_REPORTS:
--- a/src/rosemaryknot/request/event_stream.py
+++ b/src/rosemaryknot/request/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events of an event stream."""
+"""Splitting of an event stream into complete events."""
 
 __all__ = ["EventSplitter"]
 
@@ -7,17 +7,20 @@
 
 
 class EventSplitter:
-    r"""Holds an event back until it is whole, and knows the last one's id.
+    r"""Buffer that splits an event stream into complete events.
 
-    A server may stop in the middle of an event. A stream that goes on elsewhere must
-    go on behind the last whole one, or its caller gets a torn event.
+    It also tracks the id of the last complete event.
+
+    A server may fail in the middle of an event. A stream that resumes on another
+    server must continue after the last complete event, or the caller would receive a
+    corrupt one.
 
     Attributes
     ----------
-    rest : bytearray
-        The beginning of an event that is not whole yet.
+    buffer : bytearray
+        Start of an event that is not complete yet.
     last_id : bytes or None
-        Id of the last whole event.
+        Id of the last complete event that has an id.
 
     Examples
     --------
@@ -33,26 +36,26 @@
     """
 
     def __init__(self) -> None:
-        self.rest = bytearray()
+        self.buffer = bytearray()
         self.last_id: bytes | None = None
 
     def feed(self, chunk: bytes) -> bytes:
-        """Return the events that are whole now."""
-        self.rest += chunk
-        end = self.rest.rfind(END)
+        """Add a chunk and return the events that are complete now."""
+        self.buffer += chunk
+        end = self.buffer.rfind(END)
         length = len(END)
-        crlf = self.rest.rfind(b"\r\n\r\n")
+        crlf = self.buffer.rfind(b"\r\n\r\n")
         if crlf > end:
             end, length = crlf, 4
         if end < 0:
             return b""
-        events = bytes(self.rest[: end + length])
-        del self.rest[: end + length]
-        self.note_ids(events)
+        events = bytes(self.buffer[: end + length])
+        del self.buffer[: end + length]
+        self.record_last_id(events)
         return events
 
-    def note_ids(self, events: bytes) -> None:
-        """Remember the last id."""
+    def record_last_id(self, events: bytes) -> None:
+        """Record the id of the last event that has one."""
         at = events.rfind(b"\n" + ID)
         if at >= 0:
             at += 1
--- a/src/rosemaryknot/request/gateway.py
+++ b/src/rosemaryknot/request/gateway.py
@@ -23,7 +23,7 @@
 from rosemaryknot.request.gateway_request_admission import RequestAdmission
 from rosemaryknot.request.response_durations import ResponseDurations
 from rosemaryknot.values.gateway import GatewayRequest
-from rosemaryknot.values.gateway_answers import (
+from rosemaryknot.values.gateway_responses import (
     Broken,
     Completed,
     Lost,
@@ -79,7 +79,7 @@
         if isinstance(context, Refusal):
             await self.refuse(request, reply, context)
             return
-        reply.owed.explain = partial(abort_log_fields, context)
+        reply.pending.explain = partial(abort_log_fields, context)
         outcome = None
         with trio.move_on_at(context.deadline_s) as context.deadline_scope:
             self.running[reply] = context
@@ -180,7 +180,7 @@
             return context.unsent <= MAX_UNSENT
         if context.sent >= context.route.max_attempts:
             return False
-        if not isinstance(outcome, NotRunThere) and not context.route.may_repeat:
+        if not isinstance(outcome, NotRunThere) and not context.route.allows_retry:
             return False
         if isinstance(outcome, Broken) and context.last_event_id is None:
             return False
@@ -292,7 +292,7 @@
         if refusal.retry_after_s is not None:
             seconds = f"{refusal.retry_after_s:.3f}".encode()
             headers.append((b"retry-after", seconds))
-        await reply.whole(refusal.status, headers, body)
+        await reply.send_complete(refusal.status, headers, body)
 
     def log_outcome(self, context: RequestContext, outcome: object) -> None:
         """Log the outcome of a request and record its duration."""
@@ -317,6 +317,6 @@
             if context.first_byte_s is None
             else round(context.first_byte_s, 3),
             pause_s=round(context.max_event_gap_s, 3),
-            sent_bytes=context.reply.owed.sent_bytes,
+            sent_bytes=context.reply.pending.sent_bytes,
             **placement_log_fields(context),
         )
--- a/src/rosemaryknot/request/gateway_attempt.py
+++ b/src/rosemaryknot/request/gateway_attempt.py
@@ -5,20 +5,20 @@
 import trio
 
 from rosemaryknot.connection.gateway_server import ServerConnection
-from rosemaryknot.connection.owed_answers import Phase
+from rosemaryknot.connection.pending_responses import Phase
 from rosemaryknot.process.metrics import histogram
 from rosemaryknot.process.server_state import ServerState
 from rosemaryknot.request.event_stream import EventSplitter
 from rosemaryknot.request.gateway_choice import usable_servers
 from rosemaryknot.request.gateway_context import GatewayComponents, RequestContext
-from rosemaryknot.values.gateway import Repeat
-from rosemaryknot.values.gateway_answers import (
-    AnswerHead,
+from rosemaryknot.values.gateway import RetryPolicy
+from rosemaryknot.values.gateway_responses import (
     Broken,
     Completed,
     Lost,
     NotRunThere,
     NotSent,
+    ResponseHead,
 )
 
 __all__ = ["Attempt"]
@@ -79,8 +79,8 @@
         context = self.context
         # A server may close an idle connection just as a request is sent on it. A
         # request that may not be repeated would be lost, so it gets a new connection.
-        connection = await self.components.pool.take(
-            self.state.entry, context.route.may_repeat
+        connection = await self.components.pool.acquire(
+            self.state.entry, context.route.allows_retry
         )
         if isinstance(connection, NotSent):
             return connection
@@ -96,7 +96,7 @@
                 await connection.aclose()
             raise
         if isinstance(outcome, Completed):
-            await self.components.pool.give_back(connection)
+            await self.components.pool.release(connection)
         else:
             await connection.aclose()
         return outcome
@@ -142,7 +142,7 @@
         """
         context = self.context
         route = context.route
-        if not route.may_repeat or context.sent >= route.max_attempts:
+        if not route.allows_retry or context.sent >= route.max_attempts:
             return math.inf
         if not usable_servers(self.components, context):
             return math.inf
@@ -152,7 +152,7 @@
         self, connection: ServerConnection
     ) -> Completed | Broken | Lost | NotRunThere:
         """Read the head of the response and relay the rest."""
-        head: AnswerHead | Lost = Lost("no answer in time")
+        head: ResponseHead | Lost = Lost("no answer in time")
         with trio.move_on_after(self.first_byte_timeout_s()):
             head = await connection.head(self.components.wire, self.context.request.id)
         if isinstance(head, Lost):
@@ -175,22 +175,22 @@
         """Return whether the request may be attempted again after a server error."""
         context = self.context
         return (
-            context.route.may_repeat
+            context.route.allows_retry
             and not context.reply.is_started
             and context.sent < context.route.max_attempts
         )
 
     async def relay(
-        self, connection: ServerConnection, head: AnswerHead
+        self, connection: ServerConnection, head: ResponseHead
     ) -> Completed | Broken | Lost:
         """Relay the response to the caller."""
-        if self.context.route.repeat == Repeat.STREAM and head.status < 300:
+        if self.context.route.retry_policy == RetryPolicy.STREAM and head.status < 300:
             return await self.relay_events(connection, head)
         self.record_run()
         return await self.relay_buffered(connection, head)
 
     async def relay_buffered(
-        self, connection: ServerConnection, head: AnswerHead
+        self, connection: ServerConnection, head: ResponseHead
     ) -> Completed | Lost:
         """Read the whole response, then send it to the caller in one write.
 
@@ -205,17 +205,17 @@
         headers = [pair for pair in head.headers if pair[0] != b"content-length"]
         headers.append((b"content-length", str(len(body)).encode()))
         self.record_first_byte()
-        self.context.reply.owed.phase = Phase.DELIVERY
+        self.context.reply.pending.phase = Phase.DELIVERY
         # A complete response is delivered even if the deadline passes now. If it were
         # aborted here, the caller would see a closed connection instead.
         end_s = max(trio.current_time(), self.context.deadline_s) + DELIVERY_GRACE_S
         with trio.CancelScope(deadline=end_s, shield=True) as scope:
             self.context.delivery_scope = scope
-            await self.context.reply.whole(head.status, headers, bytes(body))
+            await self.context.reply.send_complete(head.status, headers, bytes(body))
         return Completed(head.status)
 
     async def relay_events(
-        self, connection: ServerConnection, head: AnswerHead
+        self, connection: ServerConnection, head: ResponseHead
     ) -> Completed | Broken | Lost:
         """Relay the events of a stream as they arrive, only complete ones."""
         context = self.context
@@ -231,14 +231,14 @@
             events = splitter.feed(chunk)
             if events:
                 await self.forward_events(head, events)
-        if splitter.rest:
-            await self.forward_events(head, bytes(splitter.rest))
+        if splitter.buffer:
+            await self.forward_events(head, bytes(splitter.buffer))
         if not context.reply.is_started:
             await context.reply.start(head.status, stream_headers(head))
         await context.reply.end()
         return Completed(head.status)
 
-    async def forward_events(self, head: AnswerHead, events: bytes) -> None:
+    async def forward_events(self, head: ResponseHead, events: bytes) -> None:
         """Send complete events to the caller."""
         reply = self.context.reply
         self.record_run()
@@ -275,7 +275,7 @@
             self.components.record_run(context.customer.name)
 
 
-def stream_headers(head: AnswerHead) -> list[tuple[bytes, bytes]]:
+def stream_headers(head: ResponseHead) -> list[tuple[bytes, bytes]]:
     """Return the headers of a stream without its length.
 
     A stream may be resumed at another server, so the first one cannot know the length.
--- a/src/rosemaryknot/request/gateway_choice.py
+++ b/src/rosemaryknot/request/gateway_choice.py
@@ -21,7 +21,7 @@
     PlacementInput,
     eligible_servers,
 )
-from rosemaryknot.values.gateway_answers import Refusal
+from rosemaryknot.values.gateway_responses import Refusal
 
 __all__ = ["choose_server", "refuse_overload", "usable_servers"]
 
--- a/src/rosemaryknot/request/gateway_context.py
+++ b/src/rosemaryknot/request/gateway_context.py
@@ -18,7 +18,7 @@
     GatewayRoute,
     GatewayService,
 )
-from rosemaryknot.values.gateway_answers import GatewayWire, PlannedStop, Refusal
+from rosemaryknot.values.gateway_responses import GatewayWire, Refusal, ShutdownSchedule
 from rosemaryknot.values.incarnation import ServerIncarnation
 
 __all__ = [
@@ -102,7 +102,7 @@
     record_request: Callable[[str], None]
     record_run: Callable[[str], None]
     record_work: Callable[[str, int], None]
-    stop: Callable[[], PlannedStop | None]
+    stop: Callable[[], ShutdownSchedule | None]
     is_alone: Callable[[], bool]
     rng: random.Random
 
--- a/src/rosemaryknot/request/gateway_request_admission.py
+++ b/src/rosemaryknot/request/gateway_request_admission.py
@@ -27,9 +27,9 @@
     GatewayRequest,
     GatewayRoute,
     GatewayService,
-    Repeat,
+    RetryPolicy,
 )
-from rosemaryknot.values.gateway_answers import PlannedStop, Refusal
+from rosemaryknot.values.gateway_responses import Refusal, ShutdownSchedule
 
 __all__ = ["RequestAdmission"]
 
@@ -137,10 +137,10 @@
             units=units,
             deadline_s=deadline_s,
             version=resolved.configuration.version,
-            lowest_priority=resolved.configuration.last_rank_by_service[
+            lowest_priority=resolved.configuration.lowest_priority_by_service[
                 resolved.service.name
             ],
-            min_event_gap_s=resolved.configuration.pause_s_by_service[
+            min_event_gap_s=resolved.configuration.min_event_gap_s_by_service[
                 resolved.service.name
             ],
         )
@@ -176,7 +176,7 @@
         customer = self.customer_of(configuration, route, request)
         if isinstance(customer, Refusal):
             return customer
-        timeout_s = request.patience_s
+        timeout_s = request.caller_timeout_s
         timeout_s = DEFAULT_TIMEOUT_S if timeout_s is None else timeout_s
         deadline_s = request.arrived_s + min(timeout_s, route.timeout_s)
         if deadline_s - trio.current_time() < MIN_REMAINING_S:
@@ -205,13 +205,13 @@
         return refusal(self.components.rng, UNAVAILABLE, outcome.reason, retry_after_s)
 
     def shutdown_input(
-        self, stop: PlannedStop, resolved: ResolvedRequest, request: GatewayRequest
+        self, stop: ShutdownSchedule, resolved: ResolvedRequest, request: GatewayRequest
     ) -> ShutdownInput:
         """Return the input of the admission rule of a graceful shutdown."""
         now_s = trio.current_time()
         route = resolved.route
         estimate = self.durations.estimate(route.name, output_tokens(request), now_s)
-        may_shorten_deadline = route.repeat == Repeat.ANY
+        may_shorten_deadline = route.retry_policy == RetryPolicy.ANY
         is_alone = self.components.is_alone()
         return ShutdownInput(
             now_s, stop, resolved.deadline_s, estimate, may_shorten_deadline, is_alone
--- a/src/rosemaryknot/request/generation_run.py
+++ b/src/rosemaryknot/request/generation_run.py
@@ -1,4 +1,4 @@
-"""One accepted request on its way through attempts to an outcome."""
+"""Processing of one accepted model request: attempts until there is an outcome."""
 
 from dataclasses import dataclass
 
@@ -13,40 +13,40 @@
 from rosemaryknot.request.attempts import Attempt, AttemptEnd, Leave, Moved, Silent
 from rosemaryknot.request.generations import Generation
 from rosemaryknot.request.moves import Mover
-from rosemaryknot.request.relay_records import note_end
+from rosemaryknot.request.relay_records import record_attempt_end
 from rosemaryknot.request.request_context import RequestContext
 from rosemaryknot.request.router import Router
 from rosemaryknot.values.nodes import BackendServer
 from rosemaryknot.values.outcomes import Answered, NotRun, Reason, Unknown
 
-__all__ = ["GenerationRun", "RelayParts"]
+__all__ = ["GenerationRun", "RelayComponents"]
 
-NO_SERVER_RETRY_S = 2.0
-NO_SERVER_WAIT_S = 60.0
+NO_SERVER_RETRY_AFTER_S = 2.0
+NO_SERVER_TIMEOUT_S = 60.0
 RECOVERED_PRIORITY = -1
-CALLERS_FAULTS = frozenset({400, 413, 422})
+CALLER_ERROR_STATUSES = frozenset({400, 413, 422})
 
 
 @dataclass(slots=True)
-class RelayParts:
-    """What the runs of one process share.
+class RelayComponents:
+    """Components shared by all generation runs of a process.
 
     Attributes
     ----------
     servers : ServerTable
         Backend servers.
     health : ServerHealth
-        Which of them fail.
+        Failures of the servers.
     loads : LoadTable
-        Their load.
+        Load of the servers.
     engines : EngineClient
-        Makes the calls.
+        Client for the engines.
     router : Router
         Chooses servers.
     mover : Mover
-        Clears leaving servers.
+        Moves streams off draining servers.
     nursery : trio.Nursery
-        For calls that nobody waits for.
+        Runs background calls.
     """
 
     servers: ServerTable
@@ -59,34 +59,37 @@
 
 
 def may_have_run(end: AttemptEnd) -> bool:
-    """Tell whether a server may have computed something in an attempt."""
+    """Return whether a server may have computed something in an attempt."""
     if isinstance(end, Broken):
         return end.sent
     return not isinstance(end, Refused)
 
 
 class GenerationRun:
-    """Makes attempt after attempt until a generation has its outcome.
+    """Sequence of attempts that brings a generation to its outcome.
 
     Parameters
     ----------
     generation : Generation
-        What is generated.
-    course : RequestContext
-        Where it stands.
-    parts : RelayParts
-        What all runs share.
+        Generation to run.
+    request_context : RequestContext
+        State kept between attempts.
+    components : RelayComponents
+        Shared components.
     """
 
     def __init__(
-        self, generation: Generation, course: RequestContext, parts: RelayParts
+        self,
+        generation: Generation,
+        request_context: RequestContext,
+        components: RelayComponents,
     ) -> None:
         self.generation = generation
-        self.course = course
-        self.parts = parts
+        self.request_context = request_context
+        self.components = components
 
     async def run(self) -> None:
-        """Bring the generation to its outcome within its deadline."""
+        """Run attempts until there is an outcome or the deadline passes."""
         generation = self.generation
         with trio.CancelScope(deadline=generation.request.deadline_s):
             while generation.outcome is None:
@@ -95,9 +98,9 @@
             self.time_out()
 
     async def run_attempt(self) -> None:
-        """Make one attempt and draw the conclusions."""
-        generation, course = self.generation, self.course
-        server = course.next_server
+        """Make one attempt and handle its end."""
+        generation, request_context = self.generation, self.request_context
+        server = request_context.next_server
         if server is None:
             server = await self.choose_server()
         if generation.outcome is not None:
@@ -106,51 +109,65 @@
             self.finish_without_server()
             return
         attempt = self.new_attempt(server)
-        guess = self.parts.router.guess(server, course.prompt)
-        attempt.load.prefixes.record_sent(course.prompt.blocks, trio.current_time())
-        course.start_attempt(server)
+        guess = self.components.router.guess(server, request_context.prompt)
+        attempt.load.prefixes.record_sent(
+            request_context.prompt.blocks, trio.current_time()
+        )
+        request_context.start_attempt(server)
         end = await self.stream(attempt)
-        note_end(attempt, end)
-        self.conclude(attempt, guess, end)
+        record_attempt_end(attempt, end)
+        self.handle_attempt_end(attempt, guess, end)
 
     async def stream(self, attempt: Attempt) -> AttemptEnd:
-        """Run an attempt where the mover can find it."""
+        """Run an attempt while it is registered with the mover."""
         request_id = attempt.generation.request_id
-        self.parts.mover.running[request_id] = attempt
-        self.parts.mover.check()
+        self.components.mover.running[request_id] = attempt
+        self.components.mover.check()
         try:
             return await attempt.run()
         finally:
-            del self.parts.mover.running[request_id]
+            del self.components.mover.running[request_id]
 
     async def choose_server(self) -> BackendServer | None:
-        """Choose a server, waiting for one within a bound; None where none comes."""
-        servers, router, course = self.parts.servers, self.parts.router, self.course
+        """Choose a server; wait for one up to `NO_SERVER_TIMEOUT_S`, else None."""
+        servers, router, request_context = (
+            self.components.servers,
+            self.components.router,
+            self.request_context,
+        )
         seen = servers.revision
-        with trio.move_on_after(NO_SERVER_WAIT_S):
+        with trio.move_on_after(NO_SERVER_TIMEOUT_S):
             while True:
-                excluded = course.current_exclusions()
-                choice = router.choose(self.generation, course.prompt, excluded)
+                excluded = request_context.current_exclusions()
+                choice = router.choose(
+                    self.generation, request_context.prompt, excluded
+                )
                 if choice is not None:
                     return choice.server
-                next_try_s = min(excluded.values(), default=float("inf"))
-                with trio.move_on_at(next_try_s):
+                next_attempt_s = min(excluded.values(), default=float("inf"))
+                with trio.move_on_at(next_attempt_s):
                     seen = await servers.wait_changed(seen)
         return None
 
     def new_attempt(self, server: BackendServer) -> Attempt:
-        """Return the next attempt and count what it computes again."""
-        generation, course, parts = self.generation, self.course, self.parts
-        service = parts.router.service(generation.service)
-        load = parts.loads.of(server)
+        """Return the next attempt, and count the tokens that it recomputes."""
+        generation, request_context, components = (
+            self.generation,
+            self.request_context,
+            self.components,
+        )
+        service = components.router.service(generation.service)
+        load = components.loads.of(server)
         step_time_ms = service.step_time_ms if service else 1.0
         if load.report is not None:
             step_time_ms = max(step_time_ms, load.report.step_time_ms)
-        tokens = parts.router.sizes.tokens(generation.service, course.prompt.chars)
-        # Accepted work that lost its server goes before new work, which makes room
-        # for it by pausing and not by refusing.
+        tokens = components.router.token_estimator.tokens(
+            generation.service, request_context.prompt.chars
+        )
+        # A request that lost its server gets priority over new requests. The engine
+        # makes room for it by pausing a new request, not by refusing one.
         priority = generation.request.priority
-        if course.was_sent:
+        if request_context.was_sent:
             priority = min(priority, RECOVERED_PRIORITY)
             self.count_recomputed(tokens)
         generation.attempts += 1
@@ -158,82 +175,89 @@
             generation,
             server,
             load,
-            parts.engines,
+            components.engines,
             step_time_ms / 1000,
             tokens,
             priority,
-            course.restart,
+            request_context.restart,
         )
 
     def count_recomputed(self, prompt_tokens: float) -> None:
-        """Count the tokens that the next attempt computes again."""
-        generation, course = self.generation, self.course
-        if course.joins_running_attempt:
+        """Add the tokens that the next attempt recomputes to the generation's count."""
+        generation, request_context = self.generation, self.request_context
+        if request_context.joins_running_attempt:
             return
-        again = len(generation.tokens)
-        if course.moved_tokens >= 0:
-            again -= course.moved_tokens
+        recomputed = len(generation.tokens)
+        if request_context.moved_tokens >= 0:
+            recomputed -= request_context.moved_tokens
         else:
-            again += round(prompt_tokens)
-        generation.recomputed_tokens += again
+            recomputed += round(prompt_tokens)
+        generation.recomputed_tokens += recomputed
 
-    def conclude(self, attempt: Attempt, guess: Guess, end: AttemptEnd) -> None:
-        """Decide what follows from how an attempt ended."""
-        course, server = self.course, attempt.server
-        course.record_progress(len(self.generation.tokens))
-        course.was_sent |= may_have_run(end)
-        course.in_flight = False
+    def handle_attempt_end(
+        self, attempt: Attempt, guess: Guess, end: AttemptEnd
+    ) -> None:
+        """Finish the generation or prepare the next attempt."""
+        request_context, server = self.request_context, attempt.server
+        request_context.record_progress(len(self.generation.tokens))
+        request_context.was_sent |= may_have_run(end)
+        request_context.in_flight = False
         match end:
             case Finished():
-                self.note_finished(attempt, guess, end)
-            case Refused(status=status) if status in CALLERS_FAULTS:
+                self.finish_answered(attempt, guess, end)
+            case Refused(status=status) if status in CALLER_ERROR_STATUSES:
                 self.finish_refused(status)
             case Refused(leaving=True):
-                self.parts.servers.mark_leaving(server.instance, 0.0, "server")
-                course.exclude(server)
+                self.components.servers.mark_leaving(server.instance, 0.0, "server")
+                request_context.exclude(server)
             case Refused():
-                course.exclude(server)
+                request_context.exclude(server)
             case Silent(resume_at_server=True) | Crossed():
-                if not course.resume_at_server(server):
-                    self.give_up_on(server)
+                if not request_context.resume_at_server(server):
+                    self.abandon_server(server)
             case Moved(target=target, emitted=moved):
-                course.next_server, course.moved_tokens = target, moved
+                request_context.next_server, request_context.moved_tokens = (
+                    target,
+                    moved,
+                )
                 self.cancel_at(server)
             case Leave(restart=restart):
-                course.restart = restart
-                course.exclude(server)
+                request_context.restart = restart
+                request_context.exclude(server)
                 self.cancel_at(server)
             case _:
-                self.give_up_on(server)
+                self.abandon_server(server)
 
-    def give_up_on(self, server: BackendServer) -> None:
-        """Avoid a server that failed this request."""
-        self.parts.health.record_failure(server.instance)
-        self.course.exclude(server)
+    def abandon_server(self, server: BackendServer) -> None:
+        """Record a failure of a server and exclude it from the next attempts."""
+        self.components.health.record_failure(server.instance)
+        self.request_context.exclude(server)
         self.cancel_at(server)
 
     def cancel_at(self, server: BackendServer) -> None:
-        """Free the slot of an abandoned attempt; nobody waits for the answer."""
-        parts = self.parts
-        parts.nursery.start_soon(
-            parts.engines.cancel, server, self.generation.request_id
+        """Cancel an abandoned attempt in the background to free its slot."""
+        components = self.components
+        components.nursery.start_soon(
+            components.engines.cancel, server, self.generation.request_id
         )
 
-    def note_finished(self, attempt: Attempt, guess: Guess, end: Finished) -> None:
-        """End a generation whose answer is whole, and learn from the report."""
-        generation, router = self.generation, self.parts.router
-        self.parts.health.record_success(attempt.server.instance)
+    def finish_answered(self, attempt: Attempt, guess: Guess, end: Finished) -> None:
+        """Finish an answered generation; update the token and prefix estimates."""
+        generation, router = self.generation, self.components.router
+        self.components.health.record_success(attempt.server.instance)
         generation.prompt_tokens = end.prompt_tokens
         generation.cached_tokens = end.cached_tokens
-        prompt = self.course.prompt
-        router.sizes.learn(generation.service, prompt.chars, end.prompt_tokens)
+        prompt = self.request_context.prompt
+        router.token_estimator.record_token_count(
+            generation.service, prompt.chars, end.prompt_tokens
+        )
         if end.prompt_tokens and generation.attempts == 1:
             share = end.cached_tokens / end.prompt_tokens
             attempt.load.prefixes.confirm(prompt.blocks, guess, share)
         generation.finish(Answered(200, [], b""))
 
     def finish_refused(self, status: int) -> None:
-        """End a generation that no server will take."""
+        """Finish a generation that the engine refused as invalid."""
         generation = self.generation
         detail = f"the engine refused the request with status {status}"
         if generation.tokens:
@@ -242,21 +266,21 @@
             generation.finish(NotRun(Reason.BAD_REQUEST, 0.0, detail))
 
     def finish_without_server(self) -> None:
-        """End a generation for which no server came."""
+        """Finish a generation for which no server became available."""
         generation = self.generation
-        detail = f"no server of this service was live for {NO_SERVER_WAIT_S:.0f} s"
-        if self.course.was_sent:
+        detail = f"no server of this service was live for {NO_SERVER_TIMEOUT_S:.0f} s"
+        if self.request_context.was_sent:
             generation.finish(Unknown(Reason.NO_SERVER, detail))
         else:
-            generation.finish(NotRun(Reason.NO_SERVER, NO_SERVER_RETRY_S, detail))
+            generation.finish(NotRun(Reason.NO_SERVER, NO_SERVER_RETRY_AFTER_S, detail))
 
     def time_out(self) -> None:
-        """End a generation whose deadline has passed."""
-        generation, course = self.generation, self.course
+        """Finish a generation whose deadline has passed."""
+        generation, request_context = self.generation, self.request_context
         detail = "the deadline of the request has passed"
-        if course.in_flight:
-            self.cancel_at(course.server)
-        if course.in_flight or course.was_sent:
+        if request_context.in_flight:
+            self.cancel_at(request_context.server)
+        if request_context.in_flight or request_context.was_sent:
             generation.finish(Unknown(Reason.TIMED_OUT, detail))
         else:
             generation.finish(NotRun(Reason.TIMED_OUT, 1.0, detail))
--- a/src/rosemaryknot/request/generations.py
+++ b/src/rosemaryknot/request/generations.py
@@ -1,4 +1,4 @@
-"""Accepted model requests of this process, with the tokens emitted so far."""
+"""Accepted model requests with their emitted tokens, and streams of these tokens."""
 
 import json
 import math
@@ -19,34 +19,34 @@
 from rosemaryknot.values.requests import ModelRequest
 
 __all__ = [
-    "DirectFollower",
-    "Followed",
+    "DirectSubscriber",
+    "EventSource",
     "Generation",
-    "StoryLine",
+    "TimelineEntry",
 ]
 
-MAX_STORY_LINES = 64
-MAX_FOLLOW_TOKENS = 512
+MAX_TIMELINE_ENTRIES = 64
+MAX_EVENT_BATCH_TOKENS = 512
 
 
 @dataclass(slots=True)
-class StoryLine:
-    """One thing that happened to a request.
+class TimelineEntry:
+    """One event in the processing of a request.
 
     Attributes
     ----------
-    at_s : float
-        When, in trio time.
+    recorded_s : float
+        Time of the event, in trio time.
     text : str
-        A short sentence without caller text.
+        Short description; contains no text from the caller.
     """
 
-    at_s: float
+    recorded_s: float
     text: str
 
 
-class Followed(Protocol):
-    """What a pick-up needs of a request, here or at another node.
+class EventSource(Protocol):
+    """Source of the event stream of a request, held by this node or another one.
 
     Attributes
     ----------
@@ -56,24 +56,25 @@
 
     request_id: str
 
-    def follow(
+    def subscribe(
         self, offset: int = 0, lineage: str = "", writer: DirectWriter | None = None
     ) -> AsyncIterator[bytes]:
-        """Yield the events from an offset to the end; see `Generation.follow`."""
+        """Yield the events from an offset to the end; see `Generation.subscribe`."""
 
 
 @dataclass(slots=True)
-class DirectFollower:
-    """A follower who has all tokens and gets the next ones as they are emitted.
+class DirectSubscriber:
+    """A subscriber that has all tokens and receives new ones as they are emitted.
 
     Attributes
     ----------
     writer : DirectWriter
-        Its connection.
+        Connection of the subscriber.
     offset : int
-        The next token that it gets.
+        Offset of the next token to write.
     stopped : trio.Event
-        Set when its task has to go on: it is behind, or the request has ended.
+        Set when the subscriber's task must continue: the connection has fallen
+        behind, or the request has ended.
     """
 
     writer: DirectWriter
@@ -82,38 +83,38 @@
 
 
 class Generation:
-    """One accepted model request: its prompt, its emitted tokens and its outcome.
+    """One accepted model request with its emitted tokens and its outcome.
 
-    Several followers may read it at once and from any offset, so a caller whose
-    connection broke picks up where it was.
+    Several subscribers may read it concurrently and from any offset, so a caller
+    whose connection broke can continue where it was.
 
     Parameters
     ----------
     request : ModelRequest
         The request.
     lineage : str
-        Id of this line of text. Every token belongs to it; text of another lineage
-        is never joined to it.
+        Id of this sample of the response. All tokens belong to it; text of another
+        lineage is never appended.
     tokens : list of bytes, optional
-        Tokens emitted before, where the generation is taken over.
+        Tokens emitted earlier, if the generation is taken over.
 
     Attributes
     ----------
     tokens : list of bytes
-        Emitted tokens, each as the inside of a JSON string.
+        Emitted tokens, each as the content of a JSON string without the quotes.
     outcome : Answered, NotRun, Unknown, Running or None
-        None while it runs; `Running` where another entry goes on. The body of an
-        `Answered` is empty here; see `text`.
+        None while the generation runs; `Running` if another entry has taken over.
+        The body of an `Answered` is empty here; see `text`.
     prompt_tokens, cached_tokens : int
-        As the engine reported them at the end; 0 before.
+        Token counts that the engine reported at the end; 0 until then.
     attempts : int
-        Attempts on backend servers so far.
+        Number of attempts on backend servers so far.
     recomputed_tokens : int
-        Prompt and answer tokens that an attempt computed again.
+        Prompt and response tokens that were computed more than once.
     finished_s : float
-        When it ended, in trio time; infinite while it runs.
-    story : list of StoryLine
-        Where it ran, moved and why; bounded.
+        End time, in trio time; infinite while the generation runs.
+    timeline : list of TimelineEntry
+        Attempts, moves and their reasons; bounded in length.
     """
 
     __slots__ = (
@@ -130,10 +131,10 @@
         "attempts",
         "recomputed_tokens",
         "finished_s",
-        "story",
+        "timeline",
         "changed",
         "ended",
-        "direct",
+        "direct_subscribers",
     )
 
     def __init__(
@@ -155,62 +156,63 @@
         self.attempts = 0
         self.recomputed_tokens = 0
         self.finished_s = math.inf
-        self.story: list[StoryLine] = []
+        self.timeline: list[TimelineEntry] = []
         self.changed = trio.lowlevel.ParkingLot()
         self.ended = trio.Event()
-        self.direct: list[DirectFollower] = []
+        self.direct_subscribers: list[DirectSubscriber] = []
 
     def emit(self, tokens: list[bytes]) -> None:
-        """Append tokens and wake the followers.
+        """Append tokens and notify the subscribers.
 
         Parameters
         ----------
         tokens : list of bytes
-            Next tokens of this lineage, each as the inside of a JSON string.
+            Next tokens of this lineage, each as the content of a JSON string without
+            the quotes.
         """
         self.tokens += tokens
-        for follower in self.direct:
-            self.write_through(follower)
+        for subscriber in self.direct_subscribers:
+            self.write_through(subscriber)
         if self.changed:
             self.changed.unpark_all()
 
-    def write_through(self, follower: DirectFollower) -> None:
-        """Write the new tokens to a follower, or let its task do it."""
-        known = len(self.tokens)
-        if follower.writer.write_now(self.frames(follower.offset, known)):
-            follower.offset = known
-        if follower.writer.is_behind:
-            follower.stopped.set()
+    def write_through(self, subscriber: DirectSubscriber) -> None:
+        """Write new tokens to a subscriber; wake its task if it is behind."""
+        count = len(self.tokens)
+        if subscriber.writer.write_now(self.frames(subscriber.offset, count)):
+            subscriber.offset = count
+        if subscriber.writer.is_behind:
+            subscriber.stopped.set()
 
     def finish(self, outcome: Answered | NotRun | Unknown | Running) -> None:
-        """End the generation; a second outcome is ignored."""
+        """Set the outcome; later outcomes are ignored."""
         if self.outcome is not None:
             return
         self.outcome = outcome
         self.finished_s = trio.current_time()
-        for follower in self.direct:
-            follower.stopped.set()
+        for subscriber in self.direct_subscribers:
+            subscriber.stopped.set()
         self.changed.unpark_all()
         self.ended.set()
 
-    def tell(self, text: str) -> None:
-        """Add a line to the story; the newest are kept."""
-        if len(self.story) >= MAX_STORY_LINES:
-            del self.story[1]
-        self.story.append(StoryLine(trio.current_time(), text))
+    def record_event(self, text: str) -> None:
+        """Add an entry to the timeline; the first and the newest entries are kept."""
+        if len(self.timeline) >= MAX_TIMELINE_ENTRIES:
+            del self.timeline[1]
+        self.timeline.append(TimelineEntry(trio.current_time(), text))
 
     def frames(self, start: int, stop: int) -> bytes:
-        """Return the events of a range of tokens.
+        """Return the server-sent events of a range of tokens.
 
         Parameters
         ----------
         start, stop : int
-            Range of offsets.
+            Range of token offsets.
 
         Returns
         -------
         events : bytes
-            Server-sent events, ready to be written.
+            Encoded server-sent events.
         """
         head = self.head
         if stop == start + 1:
@@ -220,7 +222,7 @@
             for offset, token in enumerate(self.tokens[start:stop], start)
         )
 
-    async def follow(
+    async def subscribe(
         self, offset: int = 0, lineage: str = "", writer: DirectWriter | None = None
     ) -> AsyncIterator[bytes]:
         """Yield the events from an offset to the end.
@@ -228,65 +230,65 @@
         Parameters
         ----------
         offset : int
-            First token that is wanted.
+            Offset of the first token to yield.
         lineage : str
-            Lineage that the caller holds the first tokens of; empty where it does
-            not know.
+            Lineage of the tokens that the caller already has; empty if not known.
         writer : DirectWriter, optional
-            Connection of the caller. A caller who has all tokens gets the next ones
-            written there and not yielded, until it does not take them.
+            Connection of the caller. While the caller has all tokens and its
+            connection accepts data, new tokens are written there instead of being
+            yielded.
 
         Yields
         ------
         events : bytes
-            One or more server-sent events. Tokens are joined where the caller is
-            behind. The last yield holds the outcome and ``[DONE]``.
+            One or more server-sent events; several tokens at a time if the caller is
+            behind. The last item contains the outcome and ``[DONE]``.
         """
-        # A caller who holds tokens of another lineage would join two texts that
-        # differ, and nobody would see it: it gets this lineage from its start.
+        # A caller with tokens of another lineage would silently join two different
+        # texts, so the stream restarts at offset 0 of this lineage.
         if lineage and lineage != self.lineage:
             offset = 0
         offset = max(0, offset)
         while True:
-            known = len(self.tokens)
-            if offset < known:
-                stop = min(known, offset + MAX_FOLLOW_TOKENS)
+            count = len(self.tokens)
+            if offset < count:
+                stop = min(count, offset + MAX_EVENT_BATCH_TOKENS)
                 yield self.frames(offset, stop)
                 offset = stop
             elif self.outcome is not None:
                 break
             elif writer is not None:
-                offset = await self.follow_directly(offset, writer)
+                offset = await self.stream_directly(offset, writer)
             else:
                 await self.changed.park()
         yield outcome_event(self.outcome, len(self.tokens)) + DONE
 
-    async def follow_directly(self, offset: int, writer: DirectWriter) -> int:
-        """Have tokens written as they are emitted while the caller takes them.
+    async def stream_directly(self, offset: int, writer: DirectWriter) -> int:
+        """Write tokens as they are emitted until the caller falls behind.
 
         Parameters
         ----------
         offset : int
-            Number of tokens that the caller has: all there are.
+            Number of tokens that the caller has; must be all emitted tokens.
         writer : DirectWriter
             Connection of the caller.
 
         Returns
         -------
         offset : int
-            Number of tokens that it has now.
+            Number of tokens that the caller has now.
         """
-        follower = DirectFollower(writer, offset, trio.Event())
-        self.direct.append(follower)
+        subscriber = DirectSubscriber(writer, offset, trio.Event())
+        self.direct_subscribers.append(subscriber)
         try:
-            await follower.stopped.wait()
+            await subscriber.stopped.wait()
         finally:
-            self.direct.remove(follower)
+            self.direct_subscribers.remove(subscriber)
         await writer.flush()
-        return follower.offset
+        return subscriber.offset
 
-    async def wait_beyond(self, offset: int) -> int:
-        """Wait until there are more tokens than ``offset``, or an outcome.
+    async def wait_for_tokens(self, offset: int) -> int:
+        """Wait until there are more than ``offset`` tokens, or an outcome.
 
         Parameters
         ----------
@@ -296,7 +298,7 @@
         Returns
         -------
         count : int
-            Number of tokens now.
+            Current number of tokens.
         """
         while len(self.tokens) <= offset and self.outcome is None:
             await self.changed.park()
@@ -318,5 +320,5 @@
         return json.loads(b'"' + b"".join(self.tokens) + b'"')
 
     def prompt_bytes(self) -> int:
-        """Return the size of the conversation in bytes."""
-        return sum(len(str(part.get("content", ""))) for part in self.request.messages)
+        """Return the approximate size of the conversation, in bytes."""
+        return sum(len(str(m.get("content", ""))) for m in self.request.messages)
