--- a/src/rosemaryknot/request/http_api.py
+++ b/src/rosemaryknot/request/http_api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface of an entry."""
+"""HTTP interface of an entry for callers."""
 
 import random
 import time
@@ -10,20 +10,20 @@
 from quart_trio import QuartTrio
 from werkzeug.exceptions import HTTPException
 
-from rosemaryknot.connection.caller_connection import CallerConnections
-from rosemaryknot.connection.direct_write import direct_writer_of
+from rosemaryknot.connection.caller_connection import LingeringCloseMiddleware
+from rosemaryknot.connection.direct_write import get_direct_writer
 from rosemaryknot.process.configuration import ConfigurationHolder
-from rosemaryknot.process.detached import fault_fields
+from rosemaryknot.process.detached import error_fields
 from rosemaryknot.process.drain import Drain
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import render_metrics
 from rosemaryknot.request.arrivals import Arrival, new_request_id, record_outcome
 from rosemaryknot.request.authentication import authenticate
-from rosemaryknot.request.generations import Followed, Generation
+from rosemaryknot.request.generations import EventSource, Generation
 from rosemaryknot.request.http_input import read_offset, wants_async
 from rosemaryknot.request.model_api import ModelApi
 from rosemaryknot.request.model_input import completion_document
-from rosemaryknot.request.plain_api import PlainApi, refused_input
+from rosemaryknot.request.plain_api import PlainApi, input_refusal
 from rosemaryknot.request.responses import REQUEST_HEADER, json_response, response_for
 from rosemaryknot.values.outcomes import (
     Answered,
@@ -34,7 +34,7 @@
     Unknown,
 )
 
-__all__ = ["CallersApi", "create_app"]
+__all__ = ["CallerApi", "create_app"]
 
 METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
 SSE_TYPE = "text/event-stream"
@@ -45,25 +45,25 @@
 
 
 @dataclass(slots=True)
-class CallersApi:
-    """The parts behind the callers' interface.
+class CallerApi:
+    """Request handlers of the callers' interface and their components.
 
     Attributes
     ----------
     holder : ConfigurationHolder
-        Configuration in force.
+        Current configuration.
     drain : Drain
-        Requests in flight, and whether the process is stopping.
+        Requests in flight and draining state of the process.
     plain : PlainApi
-        Requests to plain services.
+        Handles requests to plain services.
     models : ModelApi
-        Requests to language models.
+        Handles requests to language models.
     rng : random.Random
-        Makes request ids.
+        Generates request ids.
     max_body_bytes : int
-        Largest body that is read.
+        Maximum size of a request body, in bytes.
     clock : callable
-        Seconds of the epoch.
+        Returns the Unix time in seconds.
     """
 
     holder: ConfigurationHolder
@@ -74,77 +74,83 @@
     max_body_bytes: int
     clock: Callable[[], float] = time.time
 
-    def arrive(self) -> Arrival | Response:
-        """Return the request at hand with its customer, or the refusal."""
+    def authenticate_request(self) -> Arrival | Response:
+        """Return the arrival data of the current request, or the refusal."""
         request_id = new_request_id(self.rng)
         arrived_s = trio.current_time()
         view = self.holder.view
         customer = authenticate(request.headers.get("Authorization"), view)
         if not isinstance(customer, NotRun):
             return Arrival(request_id, arrived_s, view, customer)
-        outcome = refused_input(request, customer)
+        outcome = input_refusal(request, customer)
         record_outcome(request_id, "", "", arrived_s, outcome)
         return response_for(outcome, request_id)
 
     async def call_plain(self, name: str, path: str = "") -> Response:
-        """Pass a request through to a plain service."""
-        arrival = self.arrive()
+        """Forward a request to a plain service."""
+        arrival = self.authenticate_request()
         if isinstance(arrival, Response):
             return arrival
         outcome = await self.plain.handle(request, arrival, name)
-        return self.conclude(arrival, name, outcome)
+        return self.respond(arrival, name, outcome)
 
     async def complete_chat(self) -> Response:
-        """Accept a model request; answer with its tokens, its text or its id."""
-        arrival = self.arrive()
+        """Accept a model request; respond with its stream, its text or its id."""
+        arrival = self.authenticate_request()
         if isinstance(arrival, Response):
             return arrival
         generation = await self.models.accept(request, arrival)
         if isinstance(generation, NotRun):
-            return self.conclude(arrival, "", generation)
+            return self.respond(arrival, "", generation)
         if wants_async(request):
-            return running(arrival.request_id)
+            return running_response(arrival.request_id)
         if generation.request.stream:
-            return streamed(generation, 0, "")
-        return await self.whole(generation)
+            return stream_response(generation, 0, "")
+        return await self.complete_response(generation)
 
-    async def whole(self, generation: Generation) -> Response:
-        """Return a whole completion once it is there."""
+    async def complete_response(self, generation: Generation) -> Response:
+        """Return the complete response when the generation ends."""
         outcome = await generation.wait_finished()
         if isinstance(outcome, Running):
-            return running(generation.request_id)
+            return running_response(generation.request_id)
         if not isinstance(outcome, Answered):
             return response_for(outcome, generation.request_id)
         document = completion_document(generation, self.clock())
         return json_response(document, outcome.status, generation.request_id)
 
-    async def pick_up(self, request_id: str) -> Response:
-        """Go on with an accepted request from an offset."""
-        arrival = self.arrive()
+    async def stream_accepted_request(self, request_id: str) -> Response:
+        """Stream an accepted request from an offset."""
+        arrival = self.authenticate_request()
         if isinstance(arrival, Response):
             return arrival
         offset = read_offset(request)
         if isinstance(offset, NotRun):
-            return self.conclude(arrival, "", offset)
+            return self.respond(arrival, "", offset)
         generation = await self.models.find(arrival, request_id)
         if isinstance(generation, Unknown):
-            return self.conclude(arrival, "", generation)
-        log.info("picked up", request=generation.request_id, offset=offset)
-        return streamed(generation, offset, request.args.get("lineage", ""))
+            return self.respond(arrival, "", generation)
+        log.info(
+            "streaming an accepted request",
+            request=generation.request_id,
+            offset=offset,
+        )
+        return stream_response(generation, offset, request.args.get("lineage", ""))
 
-    def conclude(self, arrival: Arrival, service: str, outcome: Outcome) -> Response:
-        """Note an outcome and return its answer."""
-        known = service if service in arrival.view.services else ""
+    def respond(self, arrival: Arrival, service: str, outcome: Outcome) -> Response:
+        """Record an outcome and return its response."""
+        service_name = service if service in arrival.view.services else ""
         customer = arrival.customer.name
-        record_outcome(arrival.request_id, customer, known, arrival.arrived_s, outcome)
+        record_outcome(
+            arrival.request_id, customer, service_name, arrival.arrived_s, outcome
+        )
         return response_for(outcome, arrival.request_id)
 
     async def check_health(self) -> Response:
-        """Tell that the process is alive."""
+        """Report that the process is alive."""
         return json_response({"status": "alive"}, 200, new_request_id(self.rng))
 
     async def check_ready(self) -> Response:
-        """Tell the balancer whether to send requests here."""
+        """Report to the load balancer whether to send requests here."""
         request_id = new_request_id(self.rng)
         if self.drain.is_stopping:
             return json_response({"status": "stopping"}, NOT_READY, request_id)
@@ -153,14 +159,14 @@
         return json_response({"status": "ready"}, 200, request_id)
 
     async def show_metrics(self) -> Response:
-        """Show the metrics to their collector."""
+        """Return the metrics for their collector."""
         body, content_type = render_metrics()
         return Response(body, content_type=content_type)
 
-    async def finish_answer(self, response: Response) -> Response:
-        """Add to every answer what all of them carry."""
-        # The writes are bounded by the connection; an answer as a whole may take as
-        # long as its generation does.
+    async def add_common_headers(self, response: Response) -> Response:
+        """Set the headers that all responses have."""
+        # The connection bounds each write. A whole response may take as long as its
+        # generation.
         response.timeout = None
         if REQUEST_HEADER not in response.headers:
             response.headers[REQUEST_HEADER] = new_request_id(self.rng)
@@ -168,70 +174,70 @@
             response.headers["Connection"] = "close"
         return response
 
-    async def refuse_path(self, error: HTTPException) -> Response:
-        """Answer a request that no route takes."""
+    async def handle_http_error(self, error: HTTPException) -> Response:
+        """Respond to an HTTP error, such as a request that no route matches."""
         detail = f"{error.code} {error.name}"
-        answer = response_for(
+        response = response_for(
             NotRun(Reason.BAD_REQUEST, detail=detail), new_request_id(self.rng)
         )
-        answer.status_code = error.code or answer.status_code
-        return answer
+        response.status_code = error.code or response.status_code
+        return response
 
-    async def answer_fault(self, error: Exception) -> Response:
-        """Answer a request that met a fault of ours; whether it ran is unknown."""
+    async def handle_internal_error(self, error: Exception) -> Response:
+        """Respond to an internal error; whether the request ran is unknown."""
         request_id = new_request_id(self.rng)
-        log.error("fault", request=request_id, **fault_fields(error))
+        log.error("unhandled exception", request=request_id, **error_fields(error))
         return response_for(Unknown(Reason.NOT_PROVEN, "internal error"), request_id)
 
 
-def running(request_id: str) -> Response:
-    """Return the answer that tells where an accepted request is to be picked up."""
+def running_response(request_id: str) -> Response:
+    """Return the response with the location of an accepted request."""
     document = {"outcome": "running", "id": request_id}
-    answer = json_response(document, ACCEPTED, request_id)
-    answer.headers["Location"] = f"/v1/requests/{request_id}"
-    return answer
+    response = json_response(document, ACCEPTED, request_id)
+    response.headers["Location"] = f"/v1/requests/{request_id}"
+    return response
 
 
-def streamed(generation: Followed, offset: int, lineage: str) -> Response:
-    """Return the stream of a generation's events."""
-    writer = direct_writer_of(request.scope)
-    events = generation.follow(offset, lineage, writer)
+def stream_response(generation: EventSource, offset: int, lineage: str) -> Response:
+    """Return a response that streams the events of a generation."""
+    writer = get_direct_writer(request.scope)
+    events = generation.subscribe(offset, lineage, writer)
     response = Response(events, content_type=SSE_TYPE)
     response.headers["Cache-Control"] = "no-store"
     response.headers[REQUEST_HEADER] = generation.request_id
     return response
 
 
-def create_app(api: CallersApi) -> QuartTrio:
-    """Return the application.
+def create_app(api: CallerApi) -> QuartTrio:
+    """Create the application of the callers' interface.
 
     Parameters
     ----------
-    api : CallersApi
-        The parts behind it.
+    api : CallerApi
+        Request handlers and their components.
 
     Returns
     -------
     app : QuartTrio
-        To be served by `HttpServer`.
+        Application for `HttpServer`.
     """
     app = QuartTrio("rosemaryknot")
     app.config["MAX_CONTENT_LENGTH"] = api.max_body_bytes
     app.config["BODY_TIMEOUT"] = None
-    # A path with empty segments goes to the service as the caller wrote it, and is
-    # not redirected to another one.
+    # Paths with empty segments are passed to the service unchanged instead of being
+    # redirected.
     app.url_map.merge_slashes = False
     plain = {"methods": METHODS, "provide_automatic_options": False}
     app.add_url_rule("/services/<name>", "name", api.call_plain, **plain)
     app.add_url_rule("/services/<name>/", "root", api.call_plain, **plain)
     app.add_url_rule("/services/<name>/<path:path>", "path", api.call_plain, **plain)
     app.post("/v1/chat/completions")(api.complete_chat)
-    app.get("/v1/requests/<request_id>")(api.pick_up)
+    app.get("/v1/requests/<request_id>")(api.stream_accepted_request)
     app.get("/healthz")(api.check_health)
     app.get("/readyz")(api.check_ready)
     app.get("/metrics")(api.show_metrics)
-    app.after_request(api.finish_answer)
-    app.register_error_handler(HTTPException, api.refuse_path)
-    app.register_error_handler(Exception, api.answer_fault)
-    app.asgi_app = CallerConnections(app.asgi_app, api.drain)
+    app.after_request(api.add_common_headers)
+    app.register_error_handler(HTTPException, api.handle_http_error)
+    app.register_error_handler(Exception, api.handle_internal_error)
+    app.asgi_app = LingeringCloseMiddleware(app.asgi_app, api.drain)
     return app
--- a/src/rosemaryknot/request/model_share.py
+++ b/src/rosemaryknot/request/model_admission.py
@@ -1,4 +1,4 @@
-"""A model request's way from the caller to its turn at the engines."""
+"""Admission of model requests: customer budgets and fair queuing."""
 
 import trio
 
@@ -17,27 +17,27 @@
 from rosemaryknot.values.requests import ModelRequest
 from rosemaryknot.version.tables import Limit
 
-__all__ = ["ModelShare", "used_tokens"]
+__all__ = ["ModelAdmission", "used_tokens"]
 
 PRIORITY_SHORT = 0
-BUDGET_WAIT_S = 5.0
-BUDGET_WAIT_SHARE = 0.1
+MAX_BUDGET_WAIT_S = 5.0
+MAX_BUDGET_WAIT_SHARE = 0.1
 
 
 def used_tokens(generation: Generation, charge: Charge) -> float:
-    """Return the tokens that an ended generation used.
+    """Return the number of tokens that a finished generation used.
 
     Parameters
     ----------
     generation : Generation
-        An ended one.
+        A generation with an outcome.
     charge : Charge
-        What it was charged for the prompt and the longest answer.
+        Tokens charged at admission for the prompt and the longest response.
 
     Returns
     -------
     tokens : float
-        Tokens; the estimate of the prompt where no engine has counted it.
+        Number of tokens, with the estimated prompt size if no engine reported it.
     """
     prompt = float(generation.prompt_tokens)
     if not prompt:
@@ -46,22 +46,22 @@
     return max(0.0, prompt) + len(generation.tokens)
 
 
-class ModelShare:
-    """Lets model requests pass by their customers' limits and in fair turns.
+class ModelAdmission:
+    """Admission of model requests by customer limits and in fair order.
 
     Parameters
     ----------
     budgets : EntryBudgets
-        What the customers may use.
+        Budgets of the customers.
     router : Router
-        Knows the engines and their load.
+        Provides the engines and their load.
     drain : Drain
-        Whether the process is stopping.
+        Draining state of the process.
 
     Attributes
     ----------
     queue : EngineQueue
-        Whose turn it is.
+        Fair queue for the engines.
     """
 
     def __init__(self, budgets: EntryBudgets, router: Router, drain: Drain) -> None:
@@ -72,38 +72,38 @@
         self.queue = EngineQueue(self.capacity, lambda: drain.is_stopping)
 
     def capacity(self, service: str) -> float:
-        """Return how many requests of a service may be at the engines."""
+        """Return how many requests of a service may run at the engines."""
         router = self.router
-        servers = router.considered(service)
+        servers = router.candidate_servers(service)
         return engine_capacity(router.loads.of(server) for server in servers)
 
     async def admit(
         self, request: ModelRequest, limit: Limit, slot: Slot
     ) -> NotRun | None:
-        """Charge a request and wait for its turn; the slot keeps what it gets.
+        """Charge a request and wait in the queue; store both results in the slot.
 
         Parameters
         ----------
         request : ModelRequest
-            The request; its engine priority is set.
+            The request; its engine priority is updated.
         limit : Limit
             The customer's limit.
         slot : Slot
-            Its slot.
+            Admission slot of the request.
 
         Returns
         -------
         refusal : NotRun or None
-            Why it may not go on.
+            Reason for a refusal, or None if the request is admitted.
         """
         cost = self.expected_tokens(request)
-        left_s = request.deadline_s - trio.current_time()
+        remaining_s = request.deadline_s - trio.current_time()
         charge = await self.budgets.acquire(
             request.customer,
             request.service,
             limit,
             cost,
-            min(BUDGET_WAIT_S, left_s * BUDGET_WAIT_SHARE),
+            min(MAX_BUDGET_WAIT_S, remaining_s * MAX_BUDGET_WAIT_SHARE),
         )
         if isinstance(charge, NotRun):
             return self.drain.refusal() or charge
@@ -115,7 +115,7 @@
             request.priority == PRIORITY_SHORT,
             request.deadline_s,
         )
-        # The process may have begun to stop while the request waited.
+        # The process may have started to stop while the request waited.
         stopping = self.drain.refusal()
         if isinstance(permit, NotRun):
             return stopping or permit
@@ -124,7 +124,7 @@
         return stopping
 
     def expected_tokens(self, request: ModelRequest) -> float:
-        """Return the tokens that a request may use, by estimate."""
-        chars = sum(len(str(part.get("content"))) for part in request.messages)
-        prompt = self.router.sizes.tokens(request.service, chars)
+        """Return the estimated maximum number of tokens that a request uses."""
+        chars = sum(len(str(message.get("content"))) for message in request.messages)
+        prompt = self.router.token_estimator.tokens(request.service, chars)
         return prompt + request.max_tokens
--- a/src/rosemaryknot/request/model_api.py
+++ b/src/rosemaryknot/request/model_api.py
@@ -1,4 +1,4 @@
-"""Callers' requests to language models, and their pick-up."""
+"""Handling of callers' requests to language models, and their retrieval."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -11,63 +11,63 @@
 from rosemaryknot.request.admission import Admission, Slot
 from rosemaryknot.request.arrivals import Arrival, record_outcome
 from rosemaryknot.request.generation_table import GenerationTable
-from rosemaryknot.request.generations import Followed, Generation
+from rosemaryknot.request.generations import EventSource, Generation
 from rosemaryknot.request.http_input import (
     read_body,
     read_timeout_s,
     wants_async,
 )
+from rosemaryknot.request.model_admission import ModelAdmission, used_tokens
 from rosemaryknot.request.model_input import (
     model_request_of,
     model_service,
     parse_model_body,
 )
-from rosemaryknot.request.model_share import ModelShare, used_tokens
 from rosemaryknot.values.outcomes import NotRun, Reason, Running, Unknown
 from rosemaryknot.values.requests import ModelRequest
 
 __all__ = ["Finder", "ModelApi", "ModelStarter"]
 
-UNNAMED = ""
-"""Service of a request whose body has not been read yet."""
+UNRESOLVED_SERVICE = ""
+"""Service name of a request whose body has not been read yet."""
 
 log = logger("request")
 
-Finder = Callable[[str, str], Awaitable[Followed | Unknown | None]]
+Finder = Callable[[str, str], Awaitable[EventSource | Unknown | None]]
 
 
 class ModelStarter(Protocol):
-    """What is needed of the relay of model streams."""
+    """The part of the model relay that the API uses."""
 
     async def start(self, request: ModelRequest) -> Generation | NotRun:
-        """Accept a request and start it, or say why not."""
+        """Accept and start a request, or return the reason for a refusal."""
 
 
 class ModelApi:
-    """Takes model requests from their head to an accepted generation.
+    """Handler of model requests up to an accepted generation.
 
     Parameters
     ----------
     admission : Admission
-        Which requests may start.
+        Admission control.
     drain : Drain
-        Whether the process is stopping.
+        Draining state of the process.
     nursery : trio.Nursery
-        Lives as long as the process.
+        Nursery that lives as long as the process.
     relay : ModelStarter
         Runs generations.
     generations : GenerationTable
         Accepted requests of this process.
     body_timeout_s : float
-        Bound on the wait for a body, in seconds.
-    share : ModelShare
-        What the customers may use, and whose turn it is at the engines.
+        Timeout for receiving a body, in seconds.
+    model_admission : ModelAdmission
+        Budgets of the customers and fair queuing for the engines.
 
     Attributes
     ----------
     finders : list of callable
-        Async functions of customer and request id that look for a generation which
-        this process does not hold; asked in order.
+        Async functions of customer and request id that find a generation held by
+        another process; called in order.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         relay: ModelStarter,
         generations: GenerationTable,
         body_timeout_s: float,
-        share: ModelShare,
+        model_admission: ModelAdmission,
     ) -> None:
         self.admission = admission
         self.drain = drain
@@ -86,7 +86,7 @@
         self.relay = relay
         self.generations = generations
         self.body_timeout_s = body_timeout_s
-        self.share = share
+        self.model_admission = model_admission
         self.finders: list[Finder] = []
 
     async def accept(self, request: Request, arrival: Arrival) -> Generation | NotRun:
@@ -97,24 +97,24 @@
         request : quart.Request
             The HTTP request.
         arrival : Arrival
-            Whose it is.
+            Arrival data, with the customer.
 
         Returns
         -------
         generation : Generation or NotRun
-            The running generation, or why the request is refused.
+            The running generation, or the reason for the refusal.
         """
         stopping = self.drain.refusal()
         if stopping is not None:
             return stopping
         services = arrival.view.services.values()
-        longest_s = max((s.timeout_s for s in services), default=0.0)
-        timeout_s = read_timeout_s(request, longest_s)
+        max_timeout_s = max((s.timeout_s for s in services), default=0.0)
+        timeout_s = read_timeout_s(request, max_timeout_s)
         if isinstance(timeout_s, NotRun):
             return timeout_s
         deadline_s = arrival.arrived_s + timeout_s
         slot = await self.admission.admit(
-            arrival.customer.name, UNNAMED, float("inf"), deadline_s
+            arrival.customer.name, UNRESOLVED_SERVICE, float("inf"), deadline_s
         )
         if isinstance(slot, NotRun):
             return slot
@@ -122,7 +122,7 @@
         try:
             started = await self.start(request, arrival, slot, timeout_s)
             if isinstance(started, Generation):
-                self.nursery.start_soon(self.hold, started, slot)
+                self.nursery.start_soon(self.hold_slot, started, slot)
                 is_handed_over = True
             return started
         finally:
@@ -155,16 +155,16 @@
         if isinstance(model_request, NotRun):
             return model_request
         model_request.is_async = wants_async(request)
-        refusal = await self.share.admit(model_request, limit, slot)
+        refusal = await self.model_admission.admit(model_request, limit, slot)
         if refusal is not None:
             return refusal
         return await self.relay.start(model_request)
 
-    async def hold(self, generation: Generation, slot: Slot) -> None:
-        """Hold the slot to the end of a generation, and note its outcome.
+    async def hold_slot(self, generation: Generation, slot: Slot) -> None:
+        """Hold the slot until a generation ends, and record its outcome.
 
-        The caller may hang up and pick the answer up later, so the connection's end
-        says nothing.
+        The slot is not released at the end of the connection, since the caller may
+        disconnect and retrieve the response later.
         """
         request = generation.request
         log.info(
@@ -186,25 +186,25 @@
             outcome,
         )
 
-    async def find(self, arrival: Arrival, request_id: str) -> Followed | Unknown:
+    async def find(self, arrival: Arrival, request_id: str) -> EventSource | Unknown:
         """Find an accepted request of the customer.
 
         Parameters
         ----------
         arrival : Arrival
-            Whose the pick-up is.
+            Arrival data of the retrieval, with the customer.
         request_id : str
-            Id of the request that is picked up.
+            Id of the request to retrieve.
 
         Returns
         -------
-        generation : Followed or Unknown
-            Another customer's request looks as if it did not exist.
+        generation : EventSource or Unknown
+            The request; `Unknown` if there is none or it is another customer's.
         """
         customer = arrival.customer.name
         found = self.generations.find(customer, request_id)
         if found is not None and isinstance(found.outcome, Running):
-            # Another entry goes on with it.
+            # Another entry has taken over the request.
             found = None
         for finder in self.finders:
             if found is not None:
--- a/src/rosemaryknot/request/model_input.py
+++ b/src/rosemaryknot/request/model_input.py
@@ -1,4 +1,4 @@
-"""Read chat/completions requests and write whole answers to them."""
+"""Parsing of chat/completions requests and encoding of complete responses."""
 
 import json
 from typing import Any
@@ -15,28 +15,28 @@
     "parse_model_body",
 ]
 
-SHORT_ANSWER_TOKENS = 512
+MAX_SHORT_ANSWER_TOKENS = 512
 PRIORITY_SHORT = 0
 PRIORITY_LONG = 1
 
 
-def bad(detail: str) -> NotRun:
-    """Return the refusal of bad input."""
+def bad_request(detail: str) -> NotRun:
+    """Return the refusal of invalid input."""
     return NotRun(Reason.BAD_REQUEST, detail=detail)
 
 
 def parse_model_body(body: bytes) -> dict[str, Any] | NotRun:
-    """Parse the body of a model request and check what holds for all services.
+    """Parse the body of a model request and check it independently of the service.
 
     Parameters
     ----------
     body : bytes
-        The body as it came.
+        Raw request body.
 
     Returns
     -------
     document : dict or NotRun
-        The JSON object, or what is wrong with it.
+        The JSON object, or the validation error.
 
     Examples
     --------
@@ -46,30 +46,30 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
-        return bad("the body is not JSON")
+        return bad_request("the body is not JSON")
     if not isinstance(document, dict):
-        return bad("the body must be a JSON object")
+        return bad_request("the body must be a JSON object")
     if not isinstance(document.get("model"), str):
-        return bad("model must be text")
-    if not are_messages(document.get("messages")):
-        return bad("messages must be a list of objects with role and content")
+        return bad_request("model must be text")
+    if not is_message_list(document.get("messages")):
+        return bad_request("messages must be a list of objects with role and content")
     if not isinstance(document.get("stream", False), bool):
-        return bad("stream must be true or false")
+        return bad_request("stream must be true or false")
     if document.get("n", 1) != 1:
-        return bad("n must be 1")
+        return bad_request("n must be 1")
     return document
 
 
-def are_messages(value: Any) -> bool:
-    """Tell whether a value is a conversation."""
+def is_message_list(value: Any) -> bool:
+    """Return whether a value is a non-empty list of chat messages."""
     return (
         isinstance(value, list)
         and bool(value)
         and all(
-            isinstance(part, dict)
-            and isinstance(part.get("role"), str)
-            and isinstance(part.get("content"), str | list)
-            for part in value
+            isinstance(message, dict)
+            and isinstance(message.get("role"), str)
+            and isinstance(message.get("content"), str | list)
+            for message in value
         )
     )
 
@@ -77,7 +77,7 @@
 def model_service(
     document: dict[str, Any], view: ConfigurationView
 ) -> Service | NotRun:
-    """Return the service that a parsed body names."""
+    """Return the model service named in a parsed body."""
     service = view.services.get(document["model"])
     if service is None or not service.is_model:
         return NotRun(Reason.UNKNOWN_SERVICE, detail="there is no such model")
@@ -85,12 +85,14 @@
 
 
 def read_max_tokens(document: dict[str, Any], service: Service) -> int | NotRun:
-    """Return the bound on the answer's tokens."""
+    """Return the maximum number of response tokens."""
     value = document.get("max_tokens")
     if value is None:
         return service.max_tokens
     if type(value) is not int or not 1 <= value <= service.max_tokens:
-        return bad(f"max_tokens must be a whole number from 1 to {service.max_tokens}")
+        return bad_request(
+            f"max_tokens must be a whole number from 1 to {service.max_tokens}"
+        )
     return value
 
 
@@ -107,21 +109,21 @@
     Parameters
     ----------
     document : dict
-        From `parse_model_body`.
+        Parsed body; see `parse_model_body`.
     service : Service
-        From `model_service`.
+        Requested service; see `model_service`.
     request_id, customer, arrived_s, deadline_s
         See `ModelRequest`.
 
     Returns
     -------
     request : ModelRequest or NotRun
-        The request, or what is wrong with the body.
+        The request, or the validation error.
     """
     max_tokens = read_max_tokens(document, service)
     if isinstance(max_tokens, NotRun):
         return max_tokens
-    is_short = max_tokens <= SHORT_ANSWER_TOKENS
+    is_short = max_tokens <= MAX_SHORT_ANSWER_TOKENS
     return ModelRequest(
         request_id=request_id,
         customer=customer,
@@ -139,19 +141,19 @@
 def completion_document(
     generation: Generation, created_unix_s: float
 ) -> dict[str, Any]:
-    """Return the whole answer of a finished generation in chat/completions form.
+    """Return the response of a finished generation in chat/completions form.
 
     Parameters
     ----------
     generation : Generation
-        An answered one.
+        A generation with the outcome `Answered`.
     created_unix_s : float
-        Time of the answer, in seconds of the epoch.
+        Time of the response, as Unix time in seconds.
 
     Returns
     -------
     document : dict
-        JSON value.
+        JSON object of the response.
     """
     tokens = len(generation.tokens)
     return {
--- a/src/rosemaryknot/request/move_plan.py
+++ b/src/rosemaryknot/request/move_plan.py
@@ -1,4 +1,4 @@
-"""What to do first with the streams of a server that is leaving."""
+"""Plans for moving streams off a draining server, and choice of their targets."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 
 class MoveAction(StrEnum):
-    """What is done with one stream."""
+    """Action for one stream of a draining server."""
 
     FINISH = "finish"
     MOVE = "move"
@@ -34,26 +34,26 @@
 
 @dataclass(slots=True)
 class StreamFacts:
-    """What a move plan may know of one stream.
+    """Properties of a stream that a move policy may use.
 
     Attributes
     ----------
     request_id : str
         Id of the request.
     prompt_tokens : float
-        Tokens of the prompt, by estimate.
+        Estimated number of prompt tokens.
     emitted : int
-        Tokens of the answer so far.
+        Number of response tokens so far.
     remaining : int
-        Most tokens still to come.
+        Maximum number of response tokens still to be generated.
     step_time_s : float
-        Time of one token, in seconds.
-    cached_elsewhere : float
-        Prompt tokens that another server has probably cached.
+        Time per token, in seconds.
+    cached_tokens_elsewhere : float
+        Estimated prompt tokens that another server has cached.
     priority : int
         Engine priority; lower runs first.
     ready_in_s : float
-        Time until its prefill is done, in seconds; before, there is no KV cache to
+        Time until the prefill is done, in seconds. Until then there is no KV cache to
         export.
     """
 
@@ -62,33 +62,35 @@
     emitted: int
     remaining: int
     step_time_s: float
-    cached_elsewhere: float = 0.0
+    cached_tokens_elsewhere: float = 0.0
     priority: int = 0
     ready_in_s: float = 0.0
 
     @property
     def tokens_at_risk(self) -> float:
-        """Tokens that a resume elsewhere computes again."""
-        return max(0.0, self.prompt_tokens - self.cached_elsewhere) + self.emitted
+        """Number of tokens that a resume on another server recomputes."""
+        return (
+            max(0.0, self.prompt_tokens - self.cached_tokens_elsewhere) + self.emitted
+        )
 
     @property
     def finishes_in_s(self) -> float:
-        """Time to its longest possible end, in seconds."""
+        """Time until the longest possible response is complete, in seconds."""
         return self.remaining * self.step_time_s
 
 
 @dataclass(slots=True)
 class MoveInput:
-    """Everything that a move policy may look at.
+    """Input of a move policy.
 
     Attributes
     ----------
     streams : list of StreamFacts
-        Streams on the leaving server.
-    time_left_s : float
-        Time until the server is taken away, in seconds.
+        Streams on the draining server.
+    remaining_s : float
+        Time until the server is reclaimed, in seconds.
     moves_kv : bool
-        Whether its engine exports KV cache.
+        Whether the engine exports KV cache.
     kv_bytes_per_token : float
         Size of the KV cache of one token.
     bytes_per_s : float
@@ -96,29 +98,29 @@
     """
 
     streams: list[StreamFacts]
-    time_left_s: float
+    remaining_s: float
     moves_kv: bool
     kv_bytes_per_token: float
     bytes_per_s: float
 
     def transfer_s(self, stream: StreamFacts) -> float:
-        """Return the time to move a stream's KV cache, in seconds."""
+        """Return the time to transfer a stream's KV cache, in seconds."""
         tokens = stream.prompt_tokens + stream.emitted
         return MOVE_OVERHEAD_S + tokens * self.kv_bytes_per_token / self.bytes_per_s
 
 
 @dataclass(slots=True)
 class MoveStep:
-    """One step of a plan; the steps of a plan stand in the order of their start.
+    """One step of a plan; the steps of a plan are executed in order.
 
     Attributes
     ----------
     request_id : str
-        Stream that it is about.
+        Id of the stream's request.
     action : MoveAction
-        What to do.
+        Action for the stream.
     reason : str
-        A few words for the log.
+        Short reason, for logs.
     """
 
     request_id: str
@@ -132,106 +134,107 @@
 
 
 def move_policy(name: str) -> Callable[[MovePolicy], MovePolicy]:
-    """Register a move policy under a name."""
+    """Return a decorator that registers a move policy."""
 
     def register(function: MovePolicy) -> MovePolicy:
         if name in POLICIES:
-            raise ValueError(f"move policy {name!r} is taken")
+            raise ValueError(f"move policy {name!r} is already registered")
         POLICIES[name] = function
         return function
 
     return register
 
 
-def plan_moves(name: str, given: MoveInput) -> list[MoveStep]:
-    """Plan by a policy.
+def plan_moves(name: str, inputs: MoveInput) -> list[MoveStep]:
+    """Plan the moves of a server's streams by a policy.
 
     Parameters
     ----------
     name : str
-        A registered name; another one falls back to `DEFAULT_POLICY`.
-    given : MoveInput
-        What is known.
+        Name of a registered policy; unknown names fall back to `DEFAULT_POLICY`.
+    inputs : MoveInput
+        Input of the policy.
 
     Returns
     -------
     steps : list of MoveStep
-        One for each stream.
+        One step for each stream.
     """
-    return POLICIES.get(name, POLICIES[DEFAULT_POLICY])(given)
+    return POLICIES.get(name, POLICIES[DEFAULT_POLICY])(inputs)
 
 
 @move_policy("always_restart")
-def always_restart(given: MoveInput) -> list[MoveStep]:
-    """Compute every answer again from its start elsewhere; a baseline."""
+def always_restart(inputs: MoveInput) -> list[MoveStep]:
+    """Recompute every response from its start on another server; a baseline."""
     return [
-        MoveStep(s.request_id, MoveAction.RESTART, "baseline") for s in given.streams
+        MoveStep(s.request_id, MoveAction.RESTART, "baseline") for s in inputs.streams
     ]
 
 
 @move_policy("always_resume")
-def always_resume(given: MoveInput) -> list[MoveStep]:
-    """Resume every stream elsewhere at once; a baseline."""
+def always_resume(inputs: MoveInput) -> list[MoveStep]:
+    """Resume every stream on another server immediately; a baseline."""
     return [
-        MoveStep(s.request_id, MoveAction.RESUME, "baseline") for s in given.streams
+        MoveStep(s.request_id, MoveAction.RESUME, "baseline") for s in inputs.streams
     ]
 
 
 @move_policy("planned_moves")
-def planned_moves(given: MoveInput) -> list[MoveStep]:
-    """Finish in place what can, move what is worth most, resume the rest at once.
+def planned_moves(inputs: MoveInput) -> list[MoveStep]:
+    """Finish streams that end in time, move the most valuable, resume the others.
 
     A stream that cannot be moved in time is resumed at the notice and not at the
-    deadline, since each token that it emits until then is one more to compute
-    again. Moves go by tokens at risk for each second of transfer, those that still
-    prefill last; one that does not fit leaves its room to smaller ones after it.
+    deadline, since each token that it emits until then must be recomputed. Moves are
+    ordered by tokens at risk per second of transfer; streams still in prefill come
+    last. A move that does not fit in the remaining time is skipped in favour of
+    smaller ones.
     """
-    time_s = given.time_left_s - DEADLINE_MARGIN_S
-    finishing = [s for s in given.streams if s.finishes_in_s <= time_s]
-    others = [s for s in given.streams if s.finishes_in_s > time_s]
+    time_s = inputs.remaining_s - DEADLINE_MARGIN_S
+    finishing = [s for s in inputs.streams if s.finishes_in_s <= time_s]
+    others = [s for s in inputs.streams if s.finishes_in_s > time_s]
     steps = [
         MoveStep(s.request_id, MoveAction.FINISH, "ends before the deadline")
         for s in finishing
     ]
     moves: list[MoveStep] = []
     used_s = 0.0
-    for stream in sorted(others, key=lambda s: (s.ready_in_s, -worth(given, s))):
-        ends_s = max(used_s, stream.ready_in_s) + given.transfer_s(stream)
-        if not given.moves_kv:
-            steps.append(resume(stream, "the engine moves no KV cache"))
+    for stream in sorted(others, key=lambda s: (s.ready_in_s, -risk_rate(inputs, s))):
+        ends_s = max(used_s, stream.ready_in_s) + inputs.transfer_s(stream)
+        if not inputs.moves_kv:
+            steps.append(resume_step(stream, "the engine does not export KV cache"))
         elif ends_s > time_s:
-            steps.append(resume(stream, "no time left to move it"))
+            steps.append(resume_step(stream, "not enough time for a move"))
         else:
             used_s = ends_s
-            reason = f"moved by {used_s:.2f} s of {time_s:.2f} s"
+            reason = f"move ends at {used_s:.2f} s of {time_s:.2f} s"
             moves.append(MoveStep(stream.request_id, MoveAction.MOVE, reason))
     return steps + moves
 
 
-def worth(given: MoveInput, stream: StreamFacts) -> float:
-    """Return the tokens at risk for each second of transfer."""
-    return stream.tokens_at_risk / given.transfer_s(stream)
+def risk_rate(inputs: MoveInput, stream: StreamFacts) -> float:
+    """Return the tokens at risk per second of transfer."""
+    return stream.tokens_at_risk / inputs.transfer_s(stream)
 
 
-def resume(stream: StreamFacts, reason: str) -> MoveStep:
-    """Return the step that resumes a stream elsewhere."""
+def resume_step(stream: StreamFacts, reason: str) -> MoveStep:
+    """Return the step that resumes a stream on another server."""
     return MoveStep(stream.request_id, MoveAction.RESUME, reason)
 
 
 @dataclass(slots=True)
 class TargetFacts:
-    """A live server that may take a moved stream.
+    """A live server to which a stream can move.
 
     Attributes
     ----------
     server : BackendServer
         The server.
     requests : float
-        Requests there now.
+        Current number of requests.
     slots : int
-        Requests that run at once.
+        Number of requests that run concurrently.
     importing : int
-        Imports of ours that it is at work on.
+        Number of running imports that this process started.
     """
 
     server: BackendServer
@@ -241,22 +244,22 @@
 
 
 def choose_target(source: BackendServer, targets: list[TargetFacts]) -> TargetFacts:
-    """Choose where a stream is moved to.
+    """Choose the target of a move.
 
-    Notices come in waves that take a zone, or a machine class, one server after the
-    other. A target of the same zone and class is likely to be the next; so those
-    come last, and among the rest the one with the fewest imports, then the least
-    load.
+    Reclaim notices come in waves that hit the servers of a zone or a machine class one
+    after another, so reclaimable targets in the same zone or of the same class come
+    last. Among the others, the target with the fewest imports is chosen, then the one
+    with the lowest load.
 
     Parameters
     ----------
     source : BackendServer
-        Server that is leaving.
+        Draining server.
     targets : list of TargetFacts
-        At least one.
+        Possible targets; at least one.
     """
 
-    def rank(target: TargetFacts) -> tuple:
+    def sort_key(target: TargetFacts) -> tuple:
         server = target.server
         return (
             server.reclaimable and server.zone == source.zone,
@@ -266,4 +269,4 @@
             server.instance,
         )
 
-    return min(targets, key=rank)
+    return min(targets, key=sort_key)
--- a/src/rosemaryknot/request/plain.py
+++ b/src/rosemaryknot/request/plain.py
@@ -1,4 +1,4 @@
-"""Pass requests through to plain services."""
+"""Relay of requests to plain services, with retries."""
 
 import random
 from collections import Counter
@@ -7,7 +7,7 @@
 
 import trio
 
-from rosemaryknot.connection.plain_client import PlainClient, is_leaving
+from rosemaryknot.connection.plain_client import PlainClient, is_draining
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import counter
 from rosemaryknot.process.retry_budget import RetryBudgets
@@ -20,55 +20,57 @@
 
 __all__ = ["PlainRelay", "ServerSource"]
 
-MAX_TRIES = 3
-SILENT_S = 3.0
-BACKOFF_FIRST_S = 0.05
-BACKOFF_LONGEST_S = 1.0
-NO_SERVER_RETRY_S = 2.0
+MAX_ATTEMPTS = 3
+SILENCE_TIMEOUT_S = 3.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+NO_SERVER_RETRY_AFTER_S = 2.0
 LEAVING_SOURCE = "server"
 
-# What a server says when it, or something before it, could not do the work now.
+# The server, or a proxy in front of it, is temporarily unable to do the work.
 RETRIED_STATUS = frozenset((502, 503, 504))
 FAILED_STATUS = 500
 
 log = logger("route")
-tries = counter("plain_tries_total", "Tries of plain requests, by service and result.")
+attempts_counter = counter(
+    "plain_tries_total", "Tries of plain requests, by service and result."
+)
 
 
 class ServerSource(Protocol):
-    """What the relay needs of the table of backend servers."""
+    """The part of the server table that the relay uses."""
 
     def servers_of(self, service: str) -> list[BackendServer]:
         """Return the live servers of a service."""
 
     def mark_leaving(self, instance: str, deadline_unix_s: float, source: str) -> None:
-        """Note that an instance is leaving."""
+        """Mark an instance as draining."""
 
 
 @dataclass(slots=True)
-class Tries:
-    """Tries of one request so far.
+class RequestAttempts:
+    """Attempts of one request so far.
 
     Attributes
     ----------
     instances : set of str
-        Servers tried.
+        Servers that were tried.
     last : SendResult
-        What the caller is told when no further try is made. A try that may have run
-        is never replaced by one that was not sent.
+        Result to report if there is no further attempt. The result of an attempt that
+        may have run is never replaced by that of one that was not sent.
     """
 
     instances: set[str] = field(default_factory=set)
     last: SendResult = field(default_factory=lambda: NotSent(Reason.NO_SERVER))
 
-    def note(self, result: SendResult) -> None:
-        """Take in the result of a try."""
+    def record(self, result: SendResult) -> None:
+        """Record the result of an attempt."""
         if not isinstance(result, NotSent) or isinstance(self.last, NotSent):
             self.last = result
 
 
 class PlainRelay:
-    """Sends plain requests to the servers of their service.
+    """Relay that sends plain requests to the servers of their service.
 
     Parameters
     ----------
@@ -79,18 +81,18 @@
     zone : str
         Availability zone of this process.
     rng : random.Random
-        For jitter and for the choice of servers.
+        Source of the jitter and of the choice of servers.
     health : ServerHealth, optional
-        Which servers fail; shared with the model services.
+        Failures of the servers; shared with the model services.
 
     Attributes
     ----------
     in_flight : Counter of str
         Requests in flight, by instance.
     health : ServerHealth
-        Servers that fail.
+        Failures of the servers.
     budgets : RetryBudgets
-        Retries left, by service.
+        Available retries, by service.
     """
 
     def __init__(
@@ -110,7 +112,7 @@
         self.budgets = RetryBudgets()
 
     async def run_idempotent(self, request: PlainRequest) -> Outcome:
-        """Run a request that may be repeated, on another server each time.
+        """Run a request that may be retried, on a different server each time.
 
         Parameters
         ----------
@@ -120,12 +122,12 @@
         Returns
         -------
         outcome : Outcome
-            The answer, or why there is none.
+            The response, or the reason why there is none.
         """
-        done = Tries()
+        attempts = RequestAttempts()
         budget = self.budgets.of(request.service)
         while True:
-            result = await self.try_next(request, done, reuse=True)
+            result = await self.attempt_next(request, attempts, reuse=True)
             if result is None:
                 break
             if not is_retried(result):
@@ -134,68 +136,72 @@
             if trio.current_time() >= request.deadline_s:
                 break
             if isinstance(result, NotSent):
-                # Nothing ran anywhere, so the retry adds no load to the service.
+                # The request did not run, so a retry adds no load to the service.
                 continue
-            if not budget.acquire() or not await self.back_off(request, done):
+            if not budget.acquire() or not await self.back_off(request, attempts):
                 break
-        return outcome_of(done.last)
+        return outcome_of(attempts.last)
 
     async def send_once(self, request: PlainRequest) -> SendResult:
-        """Send a request that must not be repeated.
+        """Send a request that must not be retried after it may have run.
 
-        Another server is tried only while no byte of the request has left, or a
-        server that is leaving has refused it.
+        Another server is tried only if no byte of the request was sent, or if a
+        draining server refused it.
 
         Parameters
         ----------
         request : PlainRequest
-            The request, whose right to be sent is held.
+            The request; its claim must be held.
 
         Returns
         -------
         result : SendResult
-            `NotSent` only where no server can have run it.
+            `NotSent` only if no server can have run the request.
         """
-        done = Tries()
+        attempts = RequestAttempts()
         while True:
-            result = await self.try_next(request, done, reuse=False)
+            result = await self.attempt_next(request, attempts, reuse=False)
             if result is None or not isinstance(result, NotSent):
-                return done.last
+                return attempts.last
 
-    async def try_next(
-        self, request: PlainRequest, done: Tries, reuse: bool
+    async def attempt_next(
+        self, request: PlainRequest, attempts: RequestAttempts, reuse: bool
     ) -> SendResult | None:
-        """Try the next server; None where there is none or no try is left."""
-        server = self.choose(request, done)
+        """Try the next server; None if no server or attempt is left."""
+        server = self.choose(request, attempts)
         if server is None:
             return None
-        done.instances.add(server.instance)
-        until_s = request.deadline_s
-        if reuse and self.others(request, done):
-            until_s = halfway(request)
+        attempts.instances.add(server.instance)
+        attempt_deadline_s = request.deadline_s
+        if reuse and self.untried_servers(request, attempts):
+            attempt_deadline_s = half_deadline_s(request)
         started_s = trio.current_time()
         self.in_flight[server.instance] += 1
         try:
-            result = await self.client.send(server, request, reuse, until_s)
+            result = await self.client.send(server, request, reuse, attempt_deadline_s)
         finally:
             self.in_flight[server.instance] -= 1
             if not self.in_flight[server.instance]:
                 del self.in_flight[server.instance]
         took_s = trio.current_time() - started_s
-        result = self.noted(server, request, result, took_s)
-        done.note(result)
+        result = self.record_result(server, request, result, took_s)
+        attempts.record(result)
         return result
 
-    def others(self, request: PlainRequest, done: Tries) -> list[BackendServer]:
-        """Return the servers that may be tried yet, where a try is left."""
-        if len(done.instances) >= MAX_TRIES:
+    def untried_servers(
+        self, request: PlainRequest, attempts: RequestAttempts
+    ) -> list[BackendServer]:
+        """Return the usable servers not tried yet; none if no attempt is left."""
+        if len(attempts.instances) >= MAX_ATTEMPTS:
             return []
         usable = self.health.usable(self.servers.servers_of(request.service))
-        return [s for s in usable if s.instance not in done.instances]
+        return [s for s in usable if s.instance not in attempts.instances]
 
-    def choose(self, request: PlainRequest, done: Tries) -> BackendServer | None:
-        """Choose a server that was not tried yet, and log why."""
-        usable = self.others(request, done)
+    def choose(
+        self, request: PlainRequest, attempts: RequestAttempts
+    ) -> BackendServer | None:
+        """Choose a server that was not tried yet, and log the choice."""
+        usable = self.untried_servers(request, attempts)
         candidates = [PlainCandidate(s, self.in_flight[s.instance]) for s in usable]
         choice = choose_plain_server(candidates, self.zone, self.rng)
         if choice is None:
@@ -203,7 +209,7 @@
                 "no server left",
                 request=request.request_id,
                 service=request.service,
-                tried=len(done.instances),
+                tried=len(attempts.instances),
             )
             return None
         log.info(
@@ -211,28 +217,28 @@
             request=request.request_id,
             service=request.service,
             scores=scores_text(choice.scores),
-            reason="retry" if done.instances else "lowest score",
+            reason="retry" if attempts.instances else "lowest score",
         )
         return choice.server
 
-    def noted(
+    def record_result(
         self,
         server: BackendServer,
         request: PlainRequest,
         result: SendResult,
         took_s: float,
     ) -> SendResult:
-        """Count a result for the server, and read a refusal for leaving."""
-        if isinstance(result, Answered) and is_leaving(result):
-            # The server itself says that it took no new work, so nothing ran there.
+        """Record a result; treat the refusal of a draining server as not sent."""
+        if isinstance(result, Answered) and is_draining(result):
+            # A draining server accepts no new requests, so the request did not run.
             self.servers.mark_leaving(server.instance, 0.0, LEAVING_SOURCE)
             result = NotSent(Reason.NO_SERVER)
         elif isinstance(result, Answered) and result.status < FAILED_STATUS:
             self.health.record_success(server.instance)
-        elif not is_impatience(result, took_s):
+        elif not is_short_timeout(result, took_s):
             self.health.record_failure(server.instance)
         name = type(result).__name__.lower()
-        tries.add(service=request.service, result=name)
+        attempts_counter.add(service=request.service, result=name)
         if not isinstance(result, Answered):
             log.info(
                 f"{server.instance} failed",
@@ -242,41 +248,42 @@
             )
         return result
 
-    async def back_off(self, request: PlainRequest, done: Tries) -> bool:
-        """Wait with full jitter; False where the deadline would pass."""
-        bound_s = BACKOFF_FIRST_S * 2 ** (len(done.instances) - 1)
-        delay_s = self.rng.uniform(0.0, min(BACKOFF_LONGEST_S, bound_s))
+    async def back_off(self, request: PlainRequest, attempts: RequestAttempts) -> bool:
+        """Wait with full jitter; return False if the deadline would pass."""
+        bound_s = INITIAL_BACKOFF_S * 2 ** (len(attempts.instances) - 1)
+        delay_s = self.rng.uniform(0.0, min(MAX_BACKOFF_S, bound_s))
         if trio.current_time() + delay_s >= request.deadline_s:
             return False
         await trio.sleep(delay_s)
         return True
 
 
-def halfway(request: PlainRequest) -> float:
-    """Return when a try leaves its time to the next one, in trio time.
+def half_deadline_s(request: PlainRequest) -> float:
+    """Return the time halfway to the deadline, in trio time.
 
-    A server that takes requests and never answers would use up the whole deadline of
-    a request that another server answers in milliseconds.
+    An attempt that is not the last one ends there. Otherwise a server that accepts
+    requests and never responds would use up the whole deadline of a request that
+    another server can answer in milliseconds.
     """
     return (trio.current_time() + request.deadline_s) / 2
 
 
 def is_retried(result: SendResult) -> bool:
-    """Tell whether another server may still give the answer."""
+    """Return whether another server may still give a response."""
     return not isinstance(result, Answered) or result.status in RETRIED_STATUS
 
 
-def is_impatience(result: SendResult, took_s: float) -> bool:
-    """Tell whether a try ended by a short deadline, which is no server's fault."""
+def is_short_timeout(result: SendResult, took_s: float) -> bool:
+    """Return whether a short deadline, not the server, caused a timeout."""
     is_timeout = not isinstance(result, Answered) and result.reason == Reason.TIMED_OUT
-    return is_timeout and took_s < SILENT_S
+    return is_timeout and took_s < SILENCE_TIMEOUT_S
 
 
 def outcome_of(result: SendResult) -> Outcome:
-    """Return what the caller of an idempotent request is told."""
+    """Return the outcome of an idempotent request."""
     if isinstance(result, NotSent):
         detail = "no backend server could be reached"
-        return NotRun(result.reason, NO_SERVER_RETRY_S, detail)
+        return NotRun(result.reason, NO_SERVER_RETRY_AFTER_S, detail)
     if isinstance(result, Unknown):
         return Unknown(result.reason, result.detail)
     return result
--- a/src/rosemaryknot/request/plain_api.py
+++ b/src/rosemaryknot/request/plain_api.py
@@ -1,11 +1,11 @@
-"""Callers' requests to plain services."""
+"""Handling of callers' requests to plain services."""
 
 import hashlib
 
 import trio
 from quart import Request
 
-from rosemaryknot.connection.plain_client import passed_headers
+from rosemaryknot.connection.plain_client import end_to_end_headers
 from rosemaryknot.process.detached import Detached
 from rosemaryknot.process.drain import Drain
 from rosemaryknot.request.accounts import Charge
@@ -25,25 +25,25 @@
 from rosemaryknot.values.requests import PlainRequest
 from rosemaryknot.version.view import Service
 
-__all__ = ["PlainApi", "refused_input"]
+__all__ = ["PlainApi", "input_refusal"]
 
 DIGEST_BYTES = 16
 PRIVATE_HEADERS = frozenset(("authorization", "remote-addr"))
 
 
-def refused_input(request: Request, refusal: NotRun) -> NotRun | Unknown:
-    """Return what may be said when a request is refused for its form.
+def input_refusal(request: Request, refusal: NotRun) -> NotRun | Unknown:
+    """Return the outcome of a request that is refused as malformed.
 
-    "Not run" speaks of the id. A malformed second attempt is refused here, while the
-    first one may have run: then "unknown" is what can be said. The id is not closed,
-    so that the caller may send the request again in the right form.
+    "Not run" refers to all attempts with the same id. If a malformed second attempt is
+    refused, the first one may have run, so the outcome is "unknown". The id is not
+    closed, so that the caller can repeat the request in the correct form.
 
     Parameters
     ----------
     request : quart.Request
         The request.
     refusal : NotRun
-        Why it is refused.
+        Reason for the refusal.
 
     Returns
     -------
@@ -58,7 +58,7 @@
 
 
 def body_digest(request: PlainRequest) -> bytes:
-    """Return the digest that tells a reused key from a repeat."""
+    """Return a digest that distinguishes a repeat from another use of its key."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (request.method.encode(), request.path.encode(), request.body):
         digest.update(len(part).to_bytes(8, "big") + part)
@@ -66,24 +66,24 @@
 
 
 class PlainApi:
-    """Takes requests to plain services from their head to their outcome.
+    """Handler of requests to plain services.
 
     Parameters
     ----------
     admission : Admission
-        Which requests may start.
+        Admission control.
     drain : Drain
-        Whether the process is stopping.
+        Draining state of the process.
     detached : Detached
-        Where at-most-once requests run.
+        Runs at-most-once requests independently of the caller's connection.
     relay : PlainRelay
-        Sends requests.
+        Sends requests to servers.
     at_most_once : AtMostOnce
-        Keeps what is not idempotent from running twice.
+        Prevents requests that are not idempotent from running twice.
     body_timeout_s : float
-        Bound on the wait for a body, in seconds.
+        Timeout for receiving a body, in seconds.
     budgets : EntryBudgets
-        What the customers may use over all instances.
+        Budgets of the customers across all instances.
     """
 
     def __init__(
@@ -112,22 +112,22 @@
         request : quart.Request
             The HTTP request.
         arrival : Arrival
-            Whose it is.
+            Arrival data, with the customer.
         name : str
-            Service that the path names.
+            Name of the service, from the path.
 
         Returns
         -------
         outcome : Outcome
-            What the caller is told.
+            Outcome to report to the caller.
         """
         service = arrival.view.services.get(name)
         if service is None or service.is_model:
             detail = "there is no such plain service"
-            return refused_input(request, NotRun(Reason.UNKNOWN_SERVICE, detail=detail))
+            return input_refusal(request, NotRun(Reason.UNKNOWN_SERVICE, detail=detail))
         plain = read_head(request, arrival, service)
         if isinstance(plain, NotRun):
-            return refused_input(request, plain)
+            return input_refusal(request, plain)
         stopping = self.drain.refusal()
         if stopping is not None:
             return await self.refuse(plain, stopping)
@@ -137,7 +137,7 @@
         return await self.run_admitted(request, plain, slot)
 
     async def admit(self, plain: PlainRequest, arrival: Arrival) -> Slot | NotRun:
-        """Return the request's slot with its charge, or why it is refused."""
+        """Return the slot and charge of a request, or the reason for a refusal."""
         limit = arrival.customer.limit_for(plain.service)
         slot = await self.admission.admit(
             plain.customer, plain.service, limit.concurrent_requests, plain.deadline_s
@@ -160,13 +160,13 @@
     async def run_admitted(
         self, request: Request, plain: PlainRequest, slot: Slot
     ) -> Outcome:
-        """Read the body and run the request; the slot is given back at its end."""
+        """Read the body and run the request; release the slot at the end."""
         is_handed_over = False
         try:
-            left_s = plain.deadline_s - trio.current_time()
-            body = await read_body(request, min(self.body_timeout_s, left_s))
+            remaining_s = plain.deadline_s - trio.current_time()
+            body = await read_body(request, min(self.body_timeout_s, remaining_s))
             if isinstance(body, NotRun):
-                return refused_input(request, body)
+                return input_refusal(request, body)
             plain.body = body
             plain.body_digest = body_digest(plain)
             if not plain.key:
@@ -187,7 +187,7 @@
             slot.release()
 
     async def refuse(self, plain: PlainRequest, refusal: NotRun) -> Outcome:
-        """Refuse a request so that "not run" is true of its id."""
+        """Refuse a request; with a key, "not run" must hold for all its attempts."""
         if not plain.key:
             return refusal
         outcome = await self.at_most_once.refuse(
@@ -202,7 +202,7 @@
 def read_head(
     request: Request, arrival: Arrival, service: Service
 ) -> PlainRequest | NotRun:
-    """Return the request without its body, or what is wrong with its head."""
+    """Return the request without its body, or the error in its headers."""
     path = service_path(request)
     key = read_key(request)
     attempt = read_attempt(request)
@@ -220,7 +220,7 @@
         service=service.name,
         method=request.method,
         path=path,
-        headers=callers_headers(request),
+        headers=forwarded_headers(request),
         body=b"",
         key="" if is_idempotent else key,
         attempt=attempt,
@@ -230,10 +230,10 @@
     )
 
 
-def callers_headers(request: Request) -> list[tuple[str, str]]:
-    """Return the headers that the service gets; the API key stays here."""
+def forwarded_headers(request: Request) -> list[tuple[str, str]]:
+    """Return the headers for the service, without the caller's API key."""
     return [
         (name, value)
-        for name, value in passed_headers(list(request.headers.items()))
+        for name, value in end_to_end_headers(list(request.headers.items()))
         if name.lower() not in PRIVATE_HEADERS
     ]
--- a/src/rosemaryknot/request/plain_route.py
+++ b/src/rosemaryknot/request/plain_route.py
@@ -1,4 +1,4 @@
-"""Which backend server of a plain service gets a request."""
+"""Selection of a backend server for a request to a plain service."""
 
 import random
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class PlainCandidate:
-    """A server that may get the request.
+    """A server that can serve the request.
 
     Attributes
     ----------
     server : BackendServer
         The server.
     in_flight : int
-        Requests that this process has in flight there.
+        Number of requests that this process has in flight there.
     """
 
     server: BackendServer
@@ -29,12 +29,12 @@
 
 @dataclass(slots=True)
 class PlainChoice:
-    """The server chosen, and what it was compared with.
+    """The chosen server and the scores of the servers compared.
 
     Attributes
     ----------
     server : BackendServer
-        Where the request goes.
+        The chosen server.
     scores : dict of str to float
         Score of each server compared, by instance; the lowest wins.
     """
@@ -46,21 +46,21 @@
 def choose_plain_server(
     candidates: list[PlainCandidate], zone: str, rng: random.Random
 ) -> PlainChoice | None:
-    """Choose a server.
+    """Choose the server with the lowest score of a random sample.
 
     Parameters
     ----------
     candidates : list of PlainCandidate
-        Servers that may get the request.
+        Servers that can serve the request.
     zone : str
         Availability zone of this process.
     rng : random.Random
-        Picks those compared, so that not all processes take the same server.
+        Draws the sample, so that processes do not all choose the same server.
 
     Returns
     -------
     choice : PlainChoice or None
-        None where there is no candidate.
+        None if there is no candidate.
     """
     if not candidates:
         return None
@@ -71,6 +71,6 @@
 
 
 def score(candidate: PlainCandidate, zone: str) -> float:
-    """Return the cost of a server: its queue, and the way to another zone."""
+    """Return the score: requests in flight plus the cost of another zone."""
     distance = 0.0 if candidate.server.zone == zone else OTHER_ZONE_COST
     return candidate.in_flight + distance
--- a/src/rosemaryknot/request/relay.py
+++ b/src/rosemaryknot/request/relay.py
@@ -1,4 +1,4 @@
-"""Runs accepted model requests: attempt after attempt until there is an outcome."""
+"""Relay of model requests: accepts them and runs each to an outcome."""
 
 import secrets
 import time
@@ -16,14 +16,14 @@
 from rosemaryknot.process.servers import ServerTable
 from rosemaryknot.request.attempts import Silent
 from rosemaryknot.request.generation_run import (
-    NO_SERVER_RETRY_S,
+    NO_SERVER_RETRY_AFTER_S,
     GenerationRun,
-    RelayParts,
+    RelayComponents,
 )
 from rosemaryknot.request.generation_table import GenerationTable
 from rosemaryknot.request.generations import Generation
 from rosemaryknot.request.moves import Mover
-from rosemaryknot.request.relay_records import note_begun, note_outcome
+from rosemaryknot.request.relay_records import record_outcome, record_start
 from rosemaryknot.request.request_context import RequestContext
 from rosemaryknot.request.router import Router, prompt_of
 from rosemaryknot.values.nodes import ServerState
@@ -41,42 +41,42 @@
 
 
 class ModelRelay:
-    """Accepts model requests and brings each to its outcome.
+    """Relay that accepts model requests and runs each to its outcome.
 
-    Each generation runs in a task of its own, apart from the callers that follow
-    it, so a caller who goes away does not lose accepted work.
+    Each generation runs in its own task, separate from the callers that read it, so
+    accepted work is not lost when a caller disconnects.
 
     Parameters
     ----------
     network : Network
-        Where connections come from.
+        Network for connections to backend servers.
     servers : ServerTable
         Backend servers.
     holder : ConfigurationHolder
-        Configuration in force.
+        Current configuration.
     zone, node : str
-        Where we are.
+        Availability zone and name of this node.
     health : ServerHealth, optional
-        Which servers fail; shared with the plain services.
+        Failures of the servers; shared with the plain services.
     safeguards : Safeguards, optional
-        All on outside of tests.
+        Switches for safety checks; all are on outside of tests.
     move_policy : str
         Name of a registered move policy.
     unix_time : callable
-        Seconds of the epoch.
+        Returns the Unix time in seconds.
     new_lineage : callable, optional
-        Returns an id that no other generation has.
+        Returns a unique lineage id for a new generation.
 
     Attributes
     ----------
     table : GenerationTable
-        Accepted requests, for pick-up.
+        Accepted requests, running and finished.
     loads : LoadTable
         Load of the servers.
     router : Router
         Chooses servers.
     mover : Mover
-        Clears leaving servers.
+        Moves streams off draining servers.
     """
 
     def __init__(
@@ -115,7 +115,9 @@
             trio.open_nursery() as self.nursery,
         ):
             await self.nursery.start(self.mover.run)
-            self.nursery.start_soon(self.loads.poll, client, self.router.polled)
+            self.nursery.start_soon(
+                self.loads.poll, client, self.router.servers_to_poll
+            )
             task_status.started()
             await trio.sleep_forever()
 
@@ -130,7 +132,7 @@
         Returns
         -------
         generation : Generation or NotRun
-            The accepted generation, to be followed; or why it was refused.
+            The accepted generation, or the reason for the refusal.
         """
         generation = self.prepare(request)
         if isinstance(generation, Generation):
@@ -143,28 +145,32 @@
         lineage: str = "",
         tokens: list[bytes] | None = None,
     ) -> Generation | NotRun:
-        """Make room for a request without running it yet.
+        """Reserve capacity for a request without running it yet.
 
         Parameters
         ----------
         request : ModelRequest
-            An admitted request, or one taken over.
+            An admitted request, or one that is taken over.
         lineage : str
-            Lineage of the tokens that were emitted before; empty for a new one.
+            Lineage of the tokens emitted earlier; empty for a new request.
         tokens : list of bytes, optional
-            Those tokens.
+            Tokens emitted earlier.
 
         Returns
         -------
         generation : Generation or NotRun
-            To be given to `begin` or `give_up`; or why it was refused.
+            The generation, to be passed to `begin` or `reject`; or the reason for the
+            refusal.
         """
         if self.nursery is None:
             return NotRun(Reason.STOPPING, 1.0, "this instance does not run")
-        # Work that is taken over was accepted before: it waits, and is not refused.
+        # A request that is taken over was accepted earlier, so it waits for a server
+        # instead of being refused.
         if not lineage and not self.servers.servers_of(request.service):
             return NotRun(
-                Reason.NO_SERVER, NO_SERVER_RETRY_S, "no server of this service is live"
+                Reason.NO_SERVER,
+                NO_SERVER_RETRY_AFTER_S,
+                "no server of this service is live",
             )
         generation = Generation(request, lineage or self.new_lineage(), tokens)
         return self.table.add(generation) or generation
@@ -177,49 +183,51 @@
         Parameters
         ----------
         generation : Generation
-            From `prepare`.
+            Generation returned by `prepare`.
         is_resumed : bool
-            Whether another entry accepted it, so that it may have run before.
+            Whether another entry accepted it, so that it may have run already.
         server : str
-            Instance that may still be at work on it; empty for none.
+            Instance that may still be running it; empty for none.
         """
-        note_begun(generation)
+        record_start(generation)
         self.nursery.start_soon(self.run_generation, generation, is_resumed, server)
 
     def hand_over(self, generation: Generation, outcome: Running) -> None:
-        """End a generation here that another entry goes on with.
+        """Finish a generation here that another entry takes over.
 
-        Its server is not told: the other entry may join it there.
+        The attempt on its server is not cancelled, since the other entry may join it.
         """
         generation.finish(outcome)
         attempt = self.mover.running.get(generation.request_id)
         if attempt is not None and attempt.generation is generation:
             attempt.stop(Silent(True, "handed over"))
 
-    def give_up(self, generation: Generation, outcome: NotRun | Unknown) -> None:
-        """End a prepared generation that will not run."""
+    def reject(self, generation: Generation, outcome: NotRun | Unknown) -> None:
+        """Finish a prepared generation that will not run."""
         generation.finish(outcome)
-        self.table.note_finished(generation)
+        self.table.record_finished(generation)
 
     async def run_generation(
         self, generation: Generation, is_resumed: bool = False, server: str = ""
     ) -> None:
-        """Bring a generation to its outcome, whatever happens."""
-        course = RequestContext(prompt_of(generation.request), was_sent=is_resumed)
-        known = self.servers.get(server)
-        if known is not None and known.state == ServerState.LIVE:
-            course.next_server = known
+        """Run a generation and guarantee that it gets an outcome."""
+        request_context = RequestContext(
+            prompt_of(generation.request), was_sent=is_resumed
+        )
+        current = self.servers.get(server)
+        if current is not None and current.state == ServerState.LIVE:
+            request_context.next_server = current
         try:
-            await GenerationRun(generation, course, self.parts()).run()
+            await GenerationRun(generation, request_context, self.components()).run()
         finally:
-            # Followers are told even when the process ends: no stream ends silently.
+            # Also when the process stops, so that no stream ends without an outcome.
             generation.finish(Unknown(Reason.STOPPING, "the instance stopped"))
-            self.table.note_finished(generation)
-            note_outcome(generation)
+            self.table.record_finished(generation)
+            record_outcome(generation)
 
-    def parts(self) -> RelayParts:
-        """Return what the runs share."""
-        return RelayParts(
+    def components(self) -> RelayComponents:
+        """Return the components shared by all generation runs."""
+        return RelayComponents(
             self.servers,
             self.health,
             self.loads,
--- a/src/rosemaryknot/request/relay_records.py
+++ b/src/rosemaryknot/request/relay_records.py
@@ -1,4 +1,4 @@
-"""Log lines, metrics and story of model requests."""
+"""Log lines, metrics and timeline entries of model requests."""
 
 from rosemaryknot.connection.engine_frames import Finished
 from rosemaryknot.process.logs import logger
@@ -6,7 +6,7 @@
 from rosemaryknot.request.attempts import Attempt, AttemptEnd
 from rosemaryknot.request.generations import Generation
 
-__all__ = ["note_begun", "note_end", "note_outcome"]
+__all__ = ["record_start", "record_attempt_end", "record_outcome"]
 
 log = logger("relay")
 running_gauge = gauge("generations_running", "Accepted model requests without outcome.")
@@ -17,8 +17,8 @@
 first_token = histogram("first_token_seconds", "Arrival to first token, in seconds.")
 
 
-def note_begun(generation: Generation) -> None:
-    """Count an accepted request, and log one that was taken over."""
+def record_start(generation: Generation) -> None:
+    """Record an accepted request; log it if it was taken over."""
     running_gauge.add(1)
     if generation.tokens:
         log.info(
@@ -28,11 +28,11 @@
             emitted=len(generation.tokens),
         )
     lineage, emitted = generation.lineage, len(generation.tokens)
-    generation.tell(f"relay: began lineage {lineage} at token {emitted}")
+    generation.record_event(f"relay: started lineage {lineage} at token {emitted}")
 
 
-def note_end(attempt: Attempt, end: AttemptEnd) -> None:
-    """Log and count how an attempt ended."""
+def record_attempt_end(attempt: Attempt, end: AttemptEnd) -> None:
+    """Log and count the end of an attempt."""
     generation, name = attempt.generation, type(end).__name__.lower()
     attempt_ends.add(service=generation.service, end=name)
     if attempt.first_offset == 0 and attempt.has_token:
@@ -49,11 +49,13 @@
         emitted=len(generation.tokens),
         detail=detail,
     )
-    generation.tell(f"relay: {attempt.server.instance}: {name} {detail}".rstrip())
+    generation.record_event(
+        f"relay: {attempt.server.instance}: {name} {detail}".rstrip()
+    )
 
 
-def note_outcome(generation: Generation) -> None:
-    """Log and count an outcome."""
+def record_outcome(generation: Generation) -> None:
+    """Log and count the outcome of a request."""
     name = type(generation.outcome).__name__.lower()
     running_gauge.add(-1)
     outcomes.add(service=generation.service, outcome=name)
@@ -66,4 +68,4 @@
         attempts=generation.attempts,
         recomputed=generation.recomputed_tokens,
     )
-    generation.tell(f"relay: ended: {name}")
+    generation.record_event(f"relay: ended: {name}")
--- a/src/rosemaryknot/request/pickup.py
+++ b/src/rosemaryknot/request/retrieval.py
@@ -1,4 +1,4 @@
-"""Pick-up of accepted requests that another node holds."""
+"""Retrieval of accepted requests that another node holds."""
 
 from collections.abc import AsyncIterator
 
@@ -24,43 +24,43 @@
     StandbyRead,
     StandbyText,
     StandbyUpdate,
-    are_tokens,
+    is_token_list,
 )
 
-__all__ = ["RemoteFinder", "RemoteGeneration", "register_pickup_handlers"]
+__all__ = ["RemoteFinder", "RemoteGeneration", "register_retrieval_handlers"]
 
 FIND_TIMEOUT_S = 3.0
 READ_WAIT_S = 1.0
 READ_TIMEOUT_S = 4.0
-READ_GAP_S = 0.03
-RETRY_S = 0.5
-PATIENCE_S = 10.0
+READ_INTERVAL_S = 0.03
+RETRY_DELAY_S = 0.5
+FAILURE_TIMEOUT_S = 10.0
 MAX_READ_TOKENS = 512
 
 log = logger("pickup")
 
 
 class RemoteGeneration:
-    """A request that another node holds, read in bounded pieces while it is followed.
+    """A request that another node holds, read in bounded pieces.
 
-    Nothing is read ahead of the caller. When the node that holds the request is
-    lost, it is looked for again and read on from the offset reached.
+    Text is read only as fast as the caller receives it. If the node that holds the
+    request fails, the new holder is located and read from the offset reached.
 
     Parameters
     ----------
     finder : RemoteFinder
-        Finds and reads.
+        Locates and reads requests.
     customer : str
-        Whose request it is.
+        Customer of the request.
     request_id : str
-        Its id.
+        Id of the request.
     node : str
-        Node that holds it.
+        Node that holds the request.
 
     Attributes
     ----------
     lineage : str
-        Lineage of what has been read; empty before.
+        Lineage of the text read so far; empty before the first read.
     """
 
     def __init__(
@@ -72,20 +72,20 @@
         self.node = node
         self.lineage = ""
 
-    async def follow(
+    async def subscribe(
         self, offset: int = 0, lineage: str = "", writer: DirectWriter | None = None
     ) -> AsyncIterator[bytes]:
-        """Yield the events from an offset to the end; see `Generation.follow`."""
+        """Yield the events from an offset to the end; see `Generation.subscribe`."""
         self.lineage = lineage
-        patience_until_s = trio.current_time() + PATIENCE_S
-        while trio.current_time() < patience_until_s:
+        failure_deadline_s = trio.current_time() + FAILURE_TIMEOUT_S
+        while trio.current_time() < failure_deadline_s:
             text = await self.finder.read(self, offset)
             if not is_usable(text):
                 await self.find_again()
                 continue
-            patience_until_s = trio.current_time() + PATIENCE_S
+            failure_deadline_s = trio.current_time() + FAILURE_TIMEOUT_S
             if self.lineage and text.lineage != self.lineage and offset:
-                # Text of another lineage is never joined to what the caller has.
+                # Text of another lineage must not be appended to the caller's text.
                 offset, self.lineage = 0, text.lineage
                 continue
             self.lineage = text.lineage
@@ -95,11 +95,11 @@
             if text.outcome and offset >= text.total:
                 yield outcome_event(outcome_of(text), text.total) + DONE
                 return
-            await trio.sleep(READ_GAP_S)
-        yield outcome_event(Running(RETRY_S), offset) + DONE
+            await trio.sleep(READ_INTERVAL_S)
+        yield outcome_event(Running(RETRY_DELAY_S), offset) + DONE
 
     def frames(self, offset: int, tokens: list[bytes]) -> bytes:
-        """Return the events of tokens from an offset on."""
+        """Return the server-sent events of tokens that start at an offset."""
         head = frame_head(self.request_id, self.lineage)
         return b"".join(
             token_frame(head, number, token)
@@ -107,15 +107,15 @@
         )
 
     async def find_again(self) -> None:
-        """Look for the node that holds the request now."""
-        await trio.sleep(RETRY_S)
+        """Locate the node that holds the request now."""
+        await trio.sleep(RETRY_DELAY_S)
         found = await self.finder.locate(self.customer, self.request_id)
         if found.node:
             self.node = found.node
 
 
 class RemoteFinder:
-    """Finds requests at other nodes through the agent.
+    """Client that locates and reads requests at other nodes through the agent.
 
     Parameters
     ----------
@@ -134,14 +134,14 @@
         Parameters
         ----------
         customer : str
-            Who asks. Another one's request is not found.
+            Customer that requests it. Other customers' requests are not found.
         request_id : str
             Id of the request.
 
         Returns
         -------
         found : RemoteGeneration, Unknown or None
-            None where no node knows it; `Unknown` where some could not be asked.
+            None if no node has the request; `Unknown` if some nodes were unreachable.
         """
         found = await self.locate(customer, request_id)
         if found.node:
@@ -153,79 +153,80 @@
         return None
 
     async def locate(self, customer: str, request_id: str) -> StandbyFound:
-        """Return where a request is."""
-        asked = StandbyFind(customer, request_id)
-        answer = await self.link.call(asked, FIND_TIMEOUT_S)
-        if isinstance(answer, StandbyFound):
-            return answer
-        # An agent of an earlier release finds nothing; any other silence says nothing.
-        is_unreached = answer != CallFailed("unsupported", maybe_handled=False)
+        """Return the node that holds a request."""
+        message = StandbyFind(customer, request_id)
+        response = await self.link.call(message, FIND_TIMEOUT_S)
+        if isinstance(response, StandbyFound):
+            return response
+        # An agent of an earlier release does not support the call and cannot find
+        # the request; after any other failure it is not known whether there is one.
+        is_unreached = response != CallFailed("unsupported", maybe_handled=False)
         return StandbyFound(unreached=int(is_unreached))
 
     async def read(self, remote: RemoteGeneration, offset: int) -> StandbyText | None:
-        """Return text from the node that holds a request, or None without answer."""
-        asked = StandbyRead(
+        """Return text from the node that holds a request; None without a response."""
+        message = StandbyRead(
             remote.node, remote.customer, remote.request_id, offset, READ_WAIT_S
         )
-        answer = await self.link.call(asked, READ_TIMEOUT_S)
-        return answer if isinstance(answer, StandbyText) else None
+        response = await self.link.call(message, READ_TIMEOUT_S)
+        return response if isinstance(response, StandbyText) else None
 
 
 def is_usable(text: StandbyText | None) -> bool:
-    """Tell whether a node that was asked works on the request or has its end."""
+    """Return whether a text is from a node that runs or has finished the request."""
     if text is None or not text.is_found or text.outcome == "running":
         return False
-    return are_tokens(text.tokens)
+    return is_token_list(text.tokens)
 
 
 def outcome_of(text: StandbyText) -> Answered | NotRun | Unknown:
-    """Return the outcome that a text carries."""
+    """Return the outcome in a text."""
     if text.outcome == "answered":
         return Answered(200, [], b"")
-    known = {str(reason) for reason in Reason}
-    reason = Reason(text.reason) if text.reason in known else Reason.NOT_PROVEN
+    reasons = {str(reason) for reason in Reason}
+    reason = Reason(text.reason) if text.reason in reasons else Reason.NOT_PROVEN
     if text.outcome == "notrun":
-        return NotRun(reason, RETRY_S, text.detail)
+        return NotRun(reason, RETRY_DELAY_S, text.detail)
     return Unknown(reason, text.detail)
 
 
-def register_pickup_handlers(handlers: Handlers, table: GenerationTable) -> None:
-    """Let the agent find and read this entry's requests.
+def register_retrieval_handlers(handlers: Handlers, table: GenerationTable) -> None:
+    """Register handlers with which the agent finds and reads this entry's requests.
 
     Parameters
     ----------
     handlers : Handlers
-        Handlers of the agent's link.
+        Handlers of the link to the agent.
     table : GenerationTable
         Requests of this entry.
     """
 
-    def held(customer: str, request: str) -> Generation | None:
+    def find_held(customer: str, request: str) -> Generation | None:
         generation = table.find(customer, request)
         if generation is None or isinstance(generation.outcome, Running):
             return None
         return generation
 
     @handlers.on(StandbyFind)
-    async def find(asked: StandbyFind, link: MessageLink) -> StandbyFound:
-        generation = held(asked.customer, asked.request)
+    async def find(message: StandbyFind, link: MessageLink) -> StandbyFound:
+        generation = find_held(message.customer, message.request)
         if generation is None:
             return StandbyFound()
         return StandbyFound("here", service=generation.service)
 
     @handlers.on(StandbyRead)
-    async def read(asked: StandbyRead, link: MessageLink) -> StandbyText:
-        generation = held(asked.customer, asked.request)
+    async def read(message: StandbyRead, link: MessageLink) -> StandbyText:
+        generation = find_held(message.customer, message.request)
         if generation is None:
             return StandbyText()
-        offset = max(0, asked.offset)
-        with trio.move_on_after(asked.wait_s):
-            await generation.wait_beyond(offset)
+        offset = max(0, message.offset)
+        with trio.move_on_after(message.wait_s):
+            await generation.wait_for_tokens(offset)
         return text_of(generation, offset)
 
 
 def text_of(generation: Generation, offset: int) -> StandbyText:
-    """Return a bounded piece of a generation's text from an offset."""
+    """Return a bounded part of a generation's text from an offset."""
     tokens = generation.tokens[offset : offset + MAX_READ_TOKENS]
     total = len(generation.tokens)
     text = StandbyText(True, generation.lineage, tokens, total)
--- a/src/rosemaryknot/request/router.py
+++ b/src/rosemaryknot/request/router.py
@@ -1,4 +1,4 @@
-"""Gathers what is known for a route choice, makes it, and logs it."""
+"""Selection of a backend server for each attempt of a model request."""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -26,47 +26,51 @@
 from rosemaryknot.values.requests import ModelRequest
 from rosemaryknot.version.view import Service
 
-__all__ = ["Prompt", "Router", "TokenSizes", "prompt_of"]
+__all__ = ["Prompt", "Router", "TokenEstimator", "prompt_of"]
 
-SUBSET = 16
-SAME_ZONE_S = 0.0003
-OTHER_ZONE_S = 0.002
+MAX_CANDIDATES = 16
+SAME_ZONE_ROUND_TRIP_S = 0.0003
+OTHER_ZONE_ROUND_TRIP_S = 0.002
 DEFAULT_SLOTS = 32
-WAVE_TIME_LEFT_S = 5.0
-FIRST_CHARS_PER_TOKEN = 4.0
-LEARNING_SHARE = 0.2
+RECLAIM_WAVE_REMAINING_S = 5.0
+INITIAL_CHARS_PER_TOKEN = 4.0
+SMOOTHING_FACTOR = 0.2
 
 log = logger("route")
 
 
-class TokenSizes:
-    """Characters of a prompt token by service, learnt from the engines' reports."""
+class TokenEstimator:
+    """Estimator of prompt tokens from characters, by service.
+
+    The characters per token are a moving average of the token counts that engines
+    report.
+    """
 
     def __init__(self) -> None:
-        self.chars: dict[str, float] = {}
+        self.chars_per_token: dict[str, float] = {}
 
     def tokens(self, service: str, chars: int) -> float:
-        """Return the estimated tokens of a prompt."""
-        return chars / self.chars.get(service, FIRST_CHARS_PER_TOKEN)
+        """Return the estimated number of tokens in a prompt."""
+        return chars / self.chars_per_token.get(service, INITIAL_CHARS_PER_TOKEN)
 
-    def learn(self, service: str, chars: int, tokens: int) -> None:
-        """Take in what an engine counted."""
+    def record_token_count(self, service: str, chars: int, tokens: int) -> None:
+        """Update the estimate with the token count of an engine."""
         if not tokens or not chars:
             return
-        known = self.chars.get(service, FIRST_CHARS_PER_TOKEN)
-        self.chars[service] = known + LEARNING_SHARE * (chars / tokens - known)
+        old = self.chars_per_token.get(service, INITIAL_CHARS_PER_TOKEN)
+        self.chars_per_token[service] = old + SMOOTHING_FACTOR * (chars / tokens - old)
 
 
 @dataclass(slots=True)
 class Prompt:
-    """What routing needs to know of a prompt; made once for each request.
+    """Properties of a prompt that routing uses, computed once for each request.
 
     Attributes
     ----------
     chars : int
-        Its length in characters.
+        Length in characters.
     blocks : list of int
-        Digests of its beginning; see `rosemaryknot.process.prefix_estimate`.
+        Digests of the leading blocks; see `rosemaryknot.process.prefix_estimate`.
     """
 
     chars: int
@@ -74,52 +78,52 @@
 
 
 def prompt_of(request: ModelRequest) -> Prompt:
-    """Return what routing needs to know of a request's prompt."""
-    texts = [str(part.get("content")) for part in request.messages]
+    """Return the routing properties of a request's prompt."""
+    texts = [str(message.get("content")) for message in request.messages]
     return Prompt(sum(map(len, texts)), prompt_blocks(texts))
 
 
 @dataclass(slots=True)
 class Ranking:
-    """The servers of a service in the order in which this node considers them.
+    """Servers of a service in the preference order of this node.
 
     Attributes
     ----------
     revision : int
-        Revision of the server table that it was made of.
+        Revision of the server table from which the order was computed.
     servers : list of BackendServer
-        Live ones; those of the node's zone first, then by a hash of both names.
-    leaving_zones : set of str
-        Zones in which servers of the service are leaving.
+        Live servers; those of the node's zone first, then by a hash of both names.
+    draining_zones : set of str
+        Zones with draining servers of the service.
     """
 
     revision: int
     servers: list[BackendServer]
-    leaving_zones: set[str]
+    draining_zones: set[str]
 
 
 class Router:
-    """Chooses servers for model requests.
+    """Selector of servers for model requests.
 
     Parameters
     ----------
     servers : ServerTable
         Servers by service.
     holder : ConfigurationHolder
-        Gives each service's policy.
+        Current configuration, with the route policy of each service.
     loads : LoadTable
-        What is known of their load.
+        Load of the servers.
     health : ServerHealth
-        Which of them fail.
+        Failures of the servers.
     zone, node : str
-        Where we are.
+        Availability zone and name of this node.
 
     Attributes
     ----------
-    sizes : TokenSizes
-        Turns characters into tokens.
-    turn : int
-        Number of choices made.
+    token_estimator : TokenEstimator
+        Estimator of prompt tokens from characters.
+    choice_count : int
+        Number of choices made so far.
     """
 
     def __init__(
@@ -137,12 +141,12 @@
         self.health = health
         self.zone = zone
         self.node = node
-        self.sizes = TokenSizes()
-        self.turn = 0
+        self.token_estimator = TokenEstimator()
+        self.choice_count = 0
         self.rankings: dict[str, Ranking] = {}
 
     def service(self, name: str) -> Service | None:
-        """Return a service of the configuration in force."""
+        """Return a service of the current configuration."""
         view = self.holder.view
         return None if view is None else view.services.get(name)
 
@@ -154,16 +158,16 @@
         Parameters
         ----------
         generation : Generation
-            What is to be generated.
+            Generation to be routed.
         prompt : Prompt
-            Its prompt.
+            Routing properties of its prompt.
         excluded : collection of str
-            Instances that failed it lately.
+            Instances that recently failed this generation.
 
         Returns
         -------
         choice : RouteChoice or None
-            None where there is no server to choose from.
+            None if no server is usable.
         """
         ranking = self.ranking(generation.service)
         usable = self.health.usable(ranking.servers)
@@ -172,49 +176,49 @@
         if not usable:
             return None
         service = self.service(generation.service)
-        given = self.route_input(generation, prompt, usable[:SUBSET], service)
-        self.turn += 1
-        choice = choose_route(service.route_policy if service else "", given)
+        inputs = self.route_input(generation, prompt, usable[:MAX_CANDIDATES], service)
+        self.choice_count += 1
+        choice = choose_route(service.route_policy if service else "", inputs)
         self.log_choice(generation, choice)
         return choice
 
     def ranking(self, service: str) -> Ranking:
-        """Return the servers of a service in the order of this node.
+        """Return the servers of a service in the preference order of this node.
 
-        With many nodes and servers each node considers the first few of its own
-        order: it knows a few servers well instead of all of them badly, and polls
-        only those. The order changes only with the table, so it is kept: to sort
-        hundreds of servers for each request would cost more than the choice.
+        With many nodes and servers, each node polls and considers only the first few
+        servers of its own order, so that its load data about them is accurate. The
+        order changes only with the server table and is cached: sorting hundreds of
+        servers for each request would cost more than the choice itself.
         """
-        known = self.rankings.get(service)
-        if known is not None and known.revision == self.servers.revision:
-            return known
+        cached = self.rankings.get(service)
+        if cached is not None and cached.revision == self.servers.revision:
+            return cached
         servers = self.servers.servers_of(service)
-        if len(servers) > SUBSET:
-            servers = sorted(servers, key=self.rank)
-        leaving = {server.zone for server in self.servers.leaving_of(service)}
-        ranking = Ranking(self.servers.revision, servers, leaving)
+        if len(servers) > MAX_CANDIDATES:
+            servers = sorted(servers, key=self.sort_key)
+        zones = {server.zone for server in self.servers.leaving_of(service)}
+        ranking = Ranking(self.servers.revision, servers, zones)
         self.rankings[service] = ranking
         return ranking
 
-    def considered(self, service: str) -> list[BackendServer]:
-        """Return the servers of a service that this node considers."""
-        return self.ranking(service).servers[:SUBSET]
+    def candidate_servers(self, service: str) -> list[BackendServer]:
+        """Return the servers of a service that this node polls and may choose."""
+        return self.ranking(service).servers[:MAX_CANDIDATES]
 
-    def rank(self, server: BackendServer) -> tuple[bool, int]:
-        """Return the place of a server in this node's order."""
+    def sort_key(self, server: BackendServer) -> tuple[bool, int]:
+        """Return the sort key of a server in this node's preference order."""
         key = f"{self.node}/{server.instance}".encode()
         return server.zone != self.zone, xxhash.xxh64_intdigest(key)
 
-    def polled(self) -> list[BackendServer]:
-        """Return the model servers whose load reports are worth reading."""
+    def servers_to_poll(self) -> list[BackendServer]:
+        """Return the model servers whose load reports are polled."""
         view = self.holder.view
         services = [] if view is None else view.services.values()
         return [
             server
             for service in services
             if service.is_model
-            for server in self.considered(service.name)
+            for server in self.candidate_servers(service.name)
         ]
 
     def route_input(
@@ -224,14 +228,14 @@
         servers: list[BackendServer],
         service: Service | None,
     ) -> RouteInput:
-        """Return what the policy may look at."""
+        """Return the input of the route policy."""
         now_s = trio.current_time()
         request = generation.request
         emitted = len(generation.tokens)
         facts = RequestFacts(
             request.request_id,
             request.service,
-            self.sizes.tokens(request.service, prompt.chars) + emitted,
+            self.token_estimator.tokens(request.service, prompt.chars) + emitted,
             max(1, request.max_tokens - emitted),
             request.priority,
             request.deadline_s - now_s,
@@ -240,22 +244,23 @@
         candidates = [
             self.candidate(server, prompt, facts, service, now_s) for server in servers
         ]
-        self.note_wave(request.service, candidates)
+        self.apply_reclaim_wave(request.service, candidates)
         seed = xxhash.xxh64_intdigest(f"{request.request_id}/{facts.attempt}".encode())
-        return RouteInput(facts, candidates, now_s, seed, self.turn)
+        return RouteInput(facts, candidates, now_s, seed, self.choice_count)
 
-    def note_wave(self, service: str, candidates: list[Candidate]) -> None:
-        """Expect the next notice for servers of a zone that is being reclaimed.
+    def apply_reclaim_wave(self, service: str, candidates: list[Candidate]) -> None:
+        """Shorten the expected lifetime of servers in a zone with reclaims.
 
-        Notices come in waves: a long answer sent to a neighbour of a leaving server
-        is likely to move again within seconds.
+        Reclaim notices come in waves: a long response sent to another reclaimable
+        server of a zone with a draining server is likely to move again within
+        seconds.
         """
-        zones = self.ranking(service).leaving_zones
+        zones = self.ranking(service).draining_zones
         if not zones:
             return
         for candidate in candidates:
             if candidate.server.reclaimable and candidate.server.zone in zones:
-                candidate.time_left_s = WAVE_TIME_LEFT_S
+                candidate.remaining_s = RECLAIM_WAVE_REMAINING_S
 
     def candidate(
         self,
@@ -265,7 +270,7 @@
         service: Service | None,
         now_s: float,
     ) -> Candidate:
-        """Return what is known of one server."""
+        """Return a server with its load and cache estimates."""
         load = self.loads.of(server)
         report = load.report
         step_time_ms = service.step_time_ms if service else 1.0
@@ -277,27 +282,31 @@
             step_time_ms=report.step_time_ms if report else step_time_ms,
             prefill_tokens=load.in_flight_tokens,
             cached_tokens=guess.share * facts.prompt_tokens,
-            distance_s=SAME_ZONE_S if server.zone == self.zone else OTHER_ZONE_S,
+            round_trip_s=SAME_ZONE_ROUND_TRIP_S
+            if server.zone == self.zone
+            else OTHER_ZONE_ROUND_TRIP_S,
             free_kv_tokens=report.free_kv_tokens if report else float("inf"),
         )
 
-    def cached_elsewhere(self, server: BackendServer, request: ModelRequest) -> float:
-        """Return the largest share of a prompt that another server has cached."""
+    def cached_share_elsewhere(
+        self, server: BackendServer, request: ModelRequest
+    ) -> float:
+        """Return the largest share of a prompt that any other server has cached."""
         prompt = prompt_of(request)
         others = [
             other
             for other in self.servers.servers_of(request.service)
             if other.instance != server.instance
         ]
-        return max((self.guess(o, prompt).share for o in others), default=0.0)
+        return max((self.guess(other, prompt).share for other in others), default=0.0)
 
     def guess(self, server: BackendServer, prompt: Prompt) -> Guess:
-        """Return how much of a prompt a server has probably cached."""
+        """Return the estimated share of a prompt that a server has cached."""
         prefixes = self.loads.of(server).prefixes
         return prefixes.guess(prompt.blocks, trio.current_time())
 
     def log_choice(self, generation: Generation, choice: RouteChoice) -> None:
-        """Write the line of a decision."""
+        """Log a choice and record it in the generation's timeline."""
         instance = choice.server.instance
         log.info(
             f"chose {instance}",
@@ -307,4 +316,4 @@
             reason=choice.reason,
             scores=scores_text(choice.scores),
         )
-        generation.tell(f"route: chose {instance}: {choice.reason}")
+        generation.record_event(f"route: chose {instance}: {choice.reason}")
--- a/src/rosemaryknot/request/routes.py
+++ b/src/rosemaryknot/request/routes.py
@@ -1,4 +1,4 @@
-"""Which backend server gets a request: typed inputs, the choice, and its registry."""
+"""Types of a route choice and the registry of route policies."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -23,22 +23,22 @@
 
 @dataclass(slots=True)
 class RequestFacts:
-    """What a route choice may know of a request.
+    """Properties of a request that a route policy may use.
 
     Attributes
     ----------
     request_id : str
-        For the log.
+        Id of the request, for logs.
     service : str
-        Service that it is for.
+        Requested service.
     prompt_tokens : float
-        Tokens to prefill, by estimate, with the answer's emitted prefix.
+        Estimated tokens to prefill: the prompt and the emitted response tokens.
     remaining_tokens : int
-        Most answer tokens that are still to come.
+        Maximum number of response tokens still to be generated.
     priority : int
         Engine priority; lower runs first.
-    time_left_s : float
-        Time to its deadline, in seconds.
+    remaining_s : float
+        Time until the deadline, in seconds.
     attempt : int
         Number of this attempt, from 1.
     """
@@ -48,34 +48,34 @@
     prompt_tokens: float
     remaining_tokens: int
     priority: int
-    time_left_s: float
+    remaining_s: float
     attempt: int = 1
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A server that may get the request, and what is known of it.
+    """A server that can serve the request, with its estimated load.
 
     Attributes
     ----------
     server : BackendServer
         The server.
     requests : float
-        Requests there now, by its report corrected by what we sent since.
+        Current requests: the server's report plus the requests sent since then.
     slots : int
-        Requests that run at once.
+        Number of requests that run concurrently.
     step_time_ms : float
-        Time of one step.
+        Duration of one engine step, in milliseconds.
     prefill_tokens : float
-        Prompt tokens of ours that wait there to be computed.
+        Tokens sent by this process that the server has yet to prefill.
     cached_tokens : float
-        Tokens of this request that are probably cached there.
-    distance_s : float
-        Time to reach the server and back, in seconds.
-    time_left_s : float
-        Time until it is taken away, in seconds; infinite where not known.
+        Estimated tokens of this request in the server's prefix cache.
+    round_trip_s : float
+        Network round-trip time, in seconds.
+    remaining_s : float
+        Time until the server is reclaimed, in seconds; infinite if not known.
     free_kv_tokens : float
-        Room for KV cache, in tokens.
+        Free KV cache capacity, in tokens.
     """
 
     server: BackendServer
@@ -84,49 +84,49 @@
     step_time_ms: float = 4.0
     prefill_tokens: float = 0.0
     cached_tokens: float = 0.0
-    distance_s: float = 0.0
-    time_left_s: float = float("inf")
+    round_trip_s: float = 0.0
+    remaining_s: float = float("inf")
     free_kv_tokens: float = float("inf")
 
 
 @dataclass(slots=True)
 class RouteInput:
-    """Everything that a route policy may look at.
+    """Input of a route policy.
 
     Attributes
     ----------
     request : RequestFacts
         The request.
     candidates : list of Candidate
-        At least one.
+        Servers to choose from; at least one.
     now_s : float
-        Now, in trio time.
+        Current trio time.
     seed : int
-        For random choices; a function of the request, so that the same input gives
-        the same choice.
-    turn : int
-        Number of choices that this process made before.
+        Seed for random choices, derived from the request so that the same input
+        gives the same choice.
+    choice_count : int
+        Number of choices that this process has made so far.
     """
 
     request: RequestFacts
     candidates: list[Candidate]
     now_s: float
     seed: int = 0
-    turn: int = 0
+    choice_count: int = 0
 
 
 @dataclass(slots=True)
 class RouteChoice:
-    """The chosen server and why.
+    """A chosen server with the reason and the scores.
 
     Attributes
     ----------
     candidate : Candidate
-        The chosen one.
+        The chosen server.
     reason : str
-        A few words.
+        Short reason, for logs.
     scores : dict of str to float
-        Score of each candidate looked at, by instance; the lowest is the best.
+        Score of each candidate compared, by instance; the lowest wins.
     """
 
     candidate: Candidate
@@ -145,30 +145,30 @@
 
 
 def route_policy(name: str) -> Callable[[RoutePolicy], RoutePolicy]:
-    """Register a route policy under the name that the configuration gives.
+    """Return a decorator that registers a route policy.
 
     Parameters
     ----------
     name : str
-        Value of a service's ``route_policy``.
+        Name of the policy, as in a service's ``route_policy`` setting.
     """
 
     def register(function: RoutePolicy) -> RoutePolicy:
         if name in POLICIES:
-            raise ValueError(f"route policy {name!r} is taken")
+            raise ValueError(f"route policy {name!r} is already registered")
         POLICIES[name] = function
         return function
 
     return register
 
 
-def choose_route(name: str, given: RouteInput) -> RouteChoice:
-    """Choose by a policy; an unknown name falls back to `DEFAULT_POLICY`."""
-    return POLICIES.get(name, POLICIES[DEFAULT_POLICY])(given)
+def choose_route(name: str, inputs: RouteInput) -> RouteChoice:
+    """Choose a server by a policy; unknown names fall back to `DEFAULT_POLICY`."""
+    return POLICIES.get(name, POLICIES[DEFAULT_POLICY])(inputs)
 
 
 def scores_text(scores: dict[str, float]) -> str:
-    """Return scores by instance for a log line.
+    """Format scores by instance for a log line.
 
     Examples
     --------
--- a/src/rosemaryknot/request/shutdown_admission.py
+++ b/src/rosemaryknot/request/shutdown_admission.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from rosemaryknot.values.gateway_answers import ANSWER_S, PlannedStop
+from rosemaryknot.values.gateway_responses import RESPONSE_RESERVE_S, ShutdownSchedule
 
 __all__ = [
     "SHUTDOWN_ADMISSION_RULES",
@@ -61,7 +61,7 @@
     ----------
     now_s : float
         Current time.
-    stop : PlannedStop
+    stop : ShutdownSchedule
         Times of the signal, of the removal from the load balancer, and of the end of
         the shutdown.
     deadline_s : float
@@ -77,7 +77,7 @@
     """
 
     now_s: float
-    stop: PlannedStop
+    stop: ShutdownSchedule
     deadline_s: float
     estimate: DurationEstimate
     may_shorten_deadline: bool = False
@@ -86,7 +86,7 @@
     @property
     def ends_s(self) -> float:
         """Time by which the last responses must start to be sent."""
-        return self.stop.ends_s - ANSWER_S
+        return self.stop.ends_s - RESPONSE_RESERVE_S
 
     @property
     def has_earlier_deadline(self) -> bool:
@@ -101,7 +101,7 @@
         reach this node and be refused again, until the load balancer has removed the
         node.
         """
-        return max(0.0, self.stop.left_out_s - self.now_s) if self.is_alone else 0.0
+        return max(0.0, self.stop.deregistered_s - self.now_s) if self.is_alone else 0.0
 
     @property
     def is_expected_in_time(self) -> bool:
@@ -170,7 +170,7 @@
 
     Examples
     --------
-    >>> stop = PlannedStop(0.0, 2.6, 7.4)
+    >>> stop = ShutdownSchedule(0.0, 2.6, 7.4)
     >>> estimate = DurationEstimate(2.9, 30, 0.1)
     >>> by_estimate(ShutdownInput(4.28, stop, 19.28, estimate)).basis
     'durations of recent responses'
@@ -189,7 +189,7 @@
 
     Examples
     --------
-    >>> stop = PlannedStop(0.0, 2.6, 7.4)
+    >>> stop = ShutdownSchedule(0.0, 2.6, 7.4)
     >>> estimate = DurationEstimate(2.9, 30, 0.1)
     >>> by_deadline(ShutdownInput(4.28, stop, 19.28, estimate))
     RefusedInShutdown(min_retry_after_s=0.0, reason='stops before the answer would end')
@@ -212,7 +212,7 @@
 
     Examples
     --------
-    >>> stop = PlannedStop(0.0, 2.6, 7.4)
+    >>> stop = ShutdownSchedule(0.0, 2.6, 7.4)
     >>> estimate = DurationEstimate(2.9, 30, 0.1)
     >>> by_deadline_once_unrouted(ShutdownInput(2.0, stop, 17.0, estimate)).basis
     'durations of recent responses'
@@ -225,7 +225,7 @@
     outcome = by_deadline_and_estimate(inputs)
     if (
         isinstance(outcome, AdmittedInShutdown)
-        or inputs.now_s >= inputs.stop.left_out_s
+        or inputs.now_s >= inputs.stop.deregistered_s
     ):
         return outcome
     if inputs.estimate.answers and inputs.is_expected_in_time:
@@ -241,7 +241,7 @@
 
     Examples
     --------
-    >>> stop = PlannedStop(0.0, 2.6, 7.4)
+    >>> stop = ShutdownSchedule(0.0, 2.6, 7.4)
     >>> slow, quick = DurationEstimate(4.0, 80, 0.1), DurationEstimate(1.5, 80, 0.1)
     >>> by_deadline_and_estimate(ShutdownInput(4.0, stop, 6.0, slow)).reason
     'stops before the answer would end'
--- a/src/rosemaryknot/request/standby.py
+++ b/src/rosemaryknot/request/standby.py
@@ -1,4 +1,4 @@
-"""Standby copies at the entry: sends copies and text, and hands over."""
+"""Replication of an entry's generations to standbys, and handover."""
 
 import json
 
@@ -10,58 +10,64 @@
 from rosemaryknot.process.metrics import gauge
 from rosemaryknot.request.generations import Generation
 from rosemaryknot.request.relay import ModelRelay
-from rosemaryknot.request.standby_drops import BATCH_TIMEOUT_S, StandbyDrops
-from rosemaryknot.request.standby_state import Copied, CopyKey, StandbyState
+from rosemaryknot.request.replica_cleanup import BATCH_TIMEOUT_S, ReplicaCleanup
+from rosemaryknot.request.replica_state import (
+    ReplicaKey,
+    ReplicatedGeneration,
+    StandbyState,
+)
 from rosemaryknot.values.messages import encode_message
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.values.outcomes import Answered, NotRun, Reason, Running
 from rosemaryknot.values.requests import ModelRequest
 from rosemaryknot.values.standby import (
+    StandbyAccepted,
     StandbyAck,
     StandbyBatch,
     StandbyCopy,
-    StandbyTaken,
     StandbyUpdate,
 )
 
-__all__ = ["StandbyCopies"]
+__all__ = ["StandbyReplicator"]
 
 COPY_TIMEOUT_S = 1.7
 HANDOVER_TIMEOUT_S = 3.0
-BATCH_S = 0.25
+BATCH_INTERVAL_S = 0.25
 HEARTBEAT_S = 1.0
-RETRY_S = 1.0
+RETRY_DELAY_S = 1.0
 MAX_FAILURES = 2
 MAX_UPDATE_TOKENS = 512
 MAX_BATCH_TOKENS = 8192
-PICKUP_RETRY_S = 0.5
+RETRIEVAL_RETRY_AFTER_S = 0.5
 
 log = logger("standby")
 copied_gauge = gauge("standby_copied", "Running model requests with a standby copy.")
 
 
-class StandbyCopies:
-    """The entry's part in standby copies; starts model requests as the relay does.
+class StandbyReplicator:
+    """Replicator of long model requests to standbys, also used for handover.
+
+    It starts model requests in place of the relay.
 
     Parameters
     ----------
     node : Node
-        This entry.
+        Node of this entry.
     relay : ModelRelay
         Runs generations.
     link : AgentLink
-        Link to the agent, which places the copies.
+        Link to the agent, which chooses the standbys.
     holder : ConfigurationHolder
-        Tells from how many tokens on a request is copied.
+        Current configuration, with the minimum size of replicated requests.
     address : str
-        Where this entry accepts callers.
+        Address at which this entry accepts callers.
     is_on : bool
-        Off only in tests.
+        Whether replication is on; off only in tests.
 
     Attributes
     ----------
-    copies : dict of (str, str) to Copied
-        Running requests with a copy, or in want of one.
+    replicas : dict of (str, str) to ReplicatedGeneration
+        Running requests that have a replica or need one.
     """
 
     def __init__(
@@ -79,22 +85,22 @@
         self.holder = holder
         self.address = address
         self.is_on = is_on
-        self.copies: dict[CopyKey, Copied] = {}
+        self.replicas: dict[ReplicaKey, ReplicatedGeneration] = {}
         self.standbys: dict[str, StandbyState] = {}
-        self.drops = StandbyDrops(node, link)
+        self.cleanup = ReplicaCleanup(node, link)
 
     async def run(self) -> None:
         """Send batches until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.drops.run)
+            nursery.start_soon(self.cleanup.run)
             while True:
-                await trio.sleep(BATCH_S)
+                await trio.sleep(BATCH_INTERVAL_S)
                 await self.send_batches()
 
-    # Accepting
+    # Acceptance
 
     async def start(self, request: ModelRequest) -> Generation | NotRun:
-        """Accept a request, copy it where it is long, and start it.
+        """Accept a request, replicate it if needed, and start it.
 
         Parameters
         ----------
@@ -104,51 +110,51 @@
         Returns
         -------
         generation : Generation or NotRun
-            The running generation, or why it was refused.
+            The running generation, or the reason for the refusal.
         """
         generation = self.relay.prepare(request)
         if isinstance(generation, NotRun):
             return generation
-        is_begun = False
+        is_started = False
         try:
-            if self.wants_copy(request):
-                # Before the caller hears that it is accepted: a promise that dies
-                # with one process is none.
-                await self.protect(Copied(generation))
+            if self.needs_standby(request):
+                # Replicate before the caller learns that the request is accepted:
+                # accepted work must survive the failure of one process.
+                await self.replicate(ReplicatedGeneration(generation))
             self.relay.begin(generation)
-            is_begun = True
+            is_started = True
         finally:
-            if not is_begun:
+            if not is_started:
                 refusal = NotRun(Reason.STOPPING, 1.0, "not started")
-                self.relay.give_up(generation, refusal)
+                self.relay.reject(generation, refusal)
         return generation
 
-    def wants_copy(self, request: ModelRequest) -> bool:
-        """Tell whether a request is long enough, or has nobody who waits for it."""
+    def needs_standby(self, request: ModelRequest) -> bool:
+        """Return whether a request is long enough or asynchronous."""
         view = self.holder.view
         service = None if view is None else view.services.get(request.service)
         if not self.is_on or service is None:
             return False
         return request.is_async or request.max_tokens >= service.standby_min_tokens
 
-    async def protect(self, copied: Copied) -> None:
-        """Copy a generation to a standby, and keep the copy current from now on."""
-        generation = copied.generation
-        copied.tried_s = trio.current_time()
-        copy = self.copy_of(generation, avoided=copied.avoided)
-        answer = await self.link.call(copy, COPY_TIMEOUT_S)
-        copied.standby = answer.node if isinstance(answer, StandbyTaken) else ""
-        copied.sent = len(copy.tokens)
-        self.copies[copied.key] = copied
-        if copied.standby:
-            log.info(f"copied to {copied.standby}", request=generation.request_id)
+    async def replicate(self, replica: ReplicatedGeneration) -> None:
+        """Replicate a generation to a standby, and keep the replica up to date."""
+        generation = replica.generation
+        replica.last_attempt_s = trio.current_time()
+        copy = self.create_copy(generation, avoided=replica.avoided)
+        response = await self.link.call(copy, COPY_TIMEOUT_S)
+        replica.standby = response.node if isinstance(response, StandbyAccepted) else ""
+        replica.sent = len(copy.tokens)
+        self.replicas[replica.key] = replica
+        if replica.standby:
+            log.info(f"replicated to {replica.standby}", request=generation.request_id)
         else:
-            log.warning("has no copy", request=generation.request_id)
+            log.warning("no standby holds a replica", request=generation.request_id)
 
-    def copy_of(
+    def create_copy(
         self, generation: Generation, preferred: str = "", avoided: str = ""
     ) -> StandbyCopy:
-        """Return a generation as it stands now."""
+        """Return a message with the current state of a generation."""
         request = generation.request
         return StandbyCopy(
             request.request_id,
@@ -169,99 +175,107 @@
         )
 
     def server_of(self, generation: Generation) -> str:
-        """Return the instance that is at work on a generation, or an empty text."""
+        """Return the instance that runs a generation, or an empty string."""
         attempt = self.relay.mover.running.get(generation.request_id)
         return "" if attempt is None else attempt.server.instance
 
-    # Text
+    # Replication of text
 
     async def send_batches(self) -> None:
-        """Send each standby what is new, and look for standbys where one is missing."""
-        copied_gauge.set(len(self.copies))
+        """Send updates to each standby, and replicate requests without a standby."""
+        copied_gauge.set(len(self.replicas))
         if not self.link.is_connected:
             return
-        by_standby: dict[str, list[Copied]] = {}
+        by_standby: dict[str, list[ReplicatedGeneration]] = {}
         async with trio.open_nursery() as nursery:
-            for key, copied in list(self.copies.items()):
-                if self.relay.servers.marks.get(copied.standby) is not None:
-                    copied.standby, copied.tried_s = "", 0.0
-                if copied.standby:
-                    by_standby.setdefault(copied.standby, []).append(copied)
-                elif copied.generation.outcome is not None:
-                    del self.copies[key]
-                elif trio.current_time() - copied.tried_s >= RETRY_S:
-                    nursery.start_soon(self.protect, copied)
-            for standby, of_standby in by_standby.items():
-                nursery.start_soon(self.send_batch, standby, of_standby)
-
-    async def send_batch(self, standby: str, of_standby: list[Copied]) -> None:
-        """Send one standby what is new; also shows it that we are there."""
+            for key, replica in list(self.replicas.items()):
+                if self.relay.servers.marks.get(replica.standby) is not None:
+                    replica.standby, replica.last_attempt_s = "", 0.0
+                if replica.standby:
+                    by_standby.setdefault(replica.standby, []).append(replica)
+                elif replica.generation.outcome is not None:
+                    del self.replicas[key]
+                elif trio.current_time() - replica.last_attempt_s >= RETRY_DELAY_S:
+                    nursery.start_soon(self.replicate, replica)
+            for standby, replicas in by_standby.items():
+                nursery.start_soon(self.send_batch, standby, replicas)
+
+    async def send_batch(
+        self, standby: str, replicas: list[ReplicatedGeneration]
+    ) -> None:
+        """Send one standby its updates, or a heartbeat if there are none."""
         state = self.standbys.setdefault(standby, StandbyState())
-        updates = self.updates_of(of_standby)
-        is_due = trio.current_time() - state.heard_s >= HEARTBEAT_S
+        updates = self.updates_of(replicas)
+        is_due = trio.current_time() - state.last_response_s >= HEARTBEAT_S
         if not updates and not is_due:
             return
         payloads = [encode_message(update) for _, update in updates]
         batch = StandbyBatch(standby, self.node.name, self.node.incarnation, payloads)
-        answer = await self.link.call(batch, BATCH_TIMEOUT_S)
-        if isinstance(answer, StandbyAck) and answer.is_reached:
-            state.failures, state.heard_s = 0, trio.current_time()
-            self.note_taken(updates, answer)
+        response = await self.link.call(batch, BATCH_TIMEOUT_S)
+        if isinstance(response, StandbyAck) and response.is_reached:
+            state.failures, state.last_response_s = 0, trio.current_time()
+            self.apply_ack(updates, response)
         else:
-            self.record_failure(standby, state, of_standby)
+            self.record_failure(standby, state, replicas)
 
     def updates_of(
-        self, of_standby: list[Copied]
-    ) -> list[tuple[Copied, StandbyUpdate]]:
-        """Return what is new of each generation, bounded."""
-        found = []
-        room = MAX_BATCH_TOKENS
-        for copied in of_standby:
-            generation = copied.generation
-            stop = copied.sent + min(room, MAX_UPDATE_TOKENS)
-            tokens = generation.tokens[copied.sent : stop]
-            room -= len(tokens)
+        self, replicas: list[ReplicatedGeneration]
+    ) -> list[tuple[ReplicatedGeneration, StandbyUpdate]]:
+        """Return the updates of each generation, bounded in tokens."""
+        updates = []
+        remaining = MAX_BATCH_TOKENS
+        for replica in replicas:
+            generation = replica.generation
+            stop = replica.sent + min(remaining, MAX_UPDATE_TOKENS)
+            tokens = generation.tokens[replica.sent : stop]
+            remaining -= len(tokens)
             update = StandbyUpdate(
-                *copied.key, copied.sent, tokens, server=self.server_of(generation)
+                *replica.key, replica.sent, tokens, server=self.server_of(generation)
             )
-            if copied.sent + len(tokens) == len(generation.tokens):
+            if replica.sent + len(tokens) == len(generation.tokens):
                 add_outcome(update, generation)
             if tokens or update.outcome:
-                found.append((copied, update))
-        return found
+                updates.append((replica, update))
+        return updates
 
-    def note_taken(
-        self, updates: list[tuple[Copied, StandbyUpdate]], ack: StandbyAck
+    def apply_ack(
+        self, updates: list[tuple[ReplicatedGeneration, StandbyUpdate]], ack: StandbyAck
     ) -> None:
-        """Note what a standby has now, and which copies it does not hold."""
+        """Record the tokens that a standby has, and the replicas that it lacks."""
         missing = {tuple(key) for key in ack.missing if isinstance(key, list)}
-        for copied, update in updates:
-            if copied.key in missing:
-                copied.standby, copied.tried_s = "", 0.0
+        for replica, update in updates:
+            if replica.key in missing:
+                replica.standby, replica.last_attempt_s = "", 0.0
                 continue
-            copied.sent += len(update.tokens)
+            replica.sent += len(update.tokens)
             if update.outcome:
-                self.copies.pop(copied.key, None)
+                self.replicas.pop(replica.key, None)
 
     def record_failure(
-        self, standby: str, state: StandbyState, of_standby: list[Copied]
+        self, standby: str, state: StandbyState, replicas: list[ReplicatedGeneration]
     ) -> None:
-        """Give a standby up that does not answer, and copy its share elsewhere."""
+        """Abandon a standby that does not respond; replicate elsewhere."""
         state.failures += 1
         if state.failures < MAX_FAILURES or not self.link.is_connected:
             return
-        log.warning(f"{standby} does not answer: copying elsewhere", n=len(of_standby))
+        log.warning(
+            f"{standby} does not respond; replicating elsewhere", n=len(replicas)
+        )
         del self.standbys[standby]
-        for copied in of_standby:
-            copied.standby, copied.avoided, copied.tried_s = "", standby, 0.0
-            self.drops.add(standby, copied)
+        for replica in replicas:
+            replica.standby, replica.avoided, replica.last_attempt_s = "", standby, 0.0
+            self.cleanup.add(standby, replica)
 
-    # Handing over
+    # Handover
 
-    async def hand_over_long(self, left_s: float) -> None:
-        """Hand over the generations that may not end within a time."""
+    async def hand_over_long(self, remaining_s: float) -> None:
+        """Hand over the generations that may not end within a given time."""
         await self.hand_over(
-            [g for g in self.relay.table.running() if self.time_to_end_s(g) > left_s]
+            [
+                g
+                for g in self.relay.table.running()
+                if self.time_to_end_s(g) > remaining_s
+            ]
         )
 
     async def hand_over_all(self) -> None:
@@ -269,15 +283,15 @@
         await self.hand_over(self.relay.table.running())
 
     def time_to_end_s(self, generation: Generation) -> float:
-        """Return how long a generation takes at most; infinite where not known."""
+        """Return the maximum remaining duration; infinite if not known."""
         attempt = self.relay.mover.running.get(generation.request_id)
         if attempt is None or not attempt.has_token:
             return float("inf")
-        left = generation.request.max_tokens - len(generation.tokens)
-        return left * attempt.observed_step_s()
+        remaining = generation.request.max_tokens - len(generation.tokens)
+        return remaining * attempt.observed_step_s()
 
     async def hand_over(self, generations: list[Generation]) -> None:
-        """Let other entries go on with generations."""
+        """Hand generations over to other entries."""
         if not self.is_on:
             return
         async with trio.open_nursery() as nursery:
@@ -285,21 +299,23 @@
                 nursery.start_soon(self.hand_over_one, generation)
 
     async def hand_over_one(self, generation: Generation) -> None:
-        """Let another entry go on with a generation; it ends here when one does."""
-        copied = self.copies.get((generation.customer, generation.request_id))
-        copy = self.copy_of(generation, preferred=copied.standby if copied else "")
+        """Hand a generation over; it ends here if another entry accepts it."""
+        replica = self.replicas.get((generation.customer, generation.request_id))
+        copy = self.create_copy(
+            generation, preferred=replica.standby if replica else ""
+        )
         copy.take_over = True
-        answer = await self.link.call(copy, HANDOVER_TIMEOUT_S)
-        if not isinstance(answer, StandbyTaken) or not answer.node:
-            log.error("nobody took it over", request=generation.request_id)
+        response = await self.link.call(copy, HANDOVER_TIMEOUT_S)
+        if not isinstance(response, StandbyAccepted) or not response.node:
+            log.error("no entry accepted the handover", request=generation.request_id)
             return
-        log.info(f"handed over to {answer.node}", request=generation.request_id)
-        generation.tell(f"standby: handed over to {answer.node}")
-        self.relay.hand_over(generation, Running(PICKUP_RETRY_S))
+        log.info(f"handed over to {response.node}", request=generation.request_id)
+        generation.record_event(f"standby: handed over to {response.node}")
+        self.relay.hand_over(generation, Running(RETRIEVAL_RETRY_AFTER_S))
 
 
 def add_outcome(update: StandbyUpdate, generation: Generation) -> None:
-    """Add to an update how its generation ended, if it did."""
+    """Add the outcome of a generation to an update, if there is one."""
     outcome = generation.outcome
     if outcome is None:
         return
--- a/src/rosemaryknot/request/stream_events.py
+++ b/src/rosemaryknot/request/stream_events.py
@@ -1,4 +1,4 @@
-"""Events of a model stream, as callers get them."""
+"""Server-sent events of a model stream, as sent to callers."""
 
 import json
 
@@ -17,7 +17,7 @@
     Parameters
     ----------
     outcome : Answered, NotRun, Unknown or Running
-        How the request ended; `Running` where another entry goes on with it.
+        Outcome of the request; `Running` if another entry has taken it over.
     tokens : int
         Number of tokens emitted.
 
@@ -57,12 +57,12 @@
 
 
 def token_frame(head: bytes, offset: int, token: bytes) -> bytes:
-    """Return the event of one token of the generation with a head."""
+    """Return the event of one token; ``head`` is from `frame_head`."""
     return b"%b%d%b%b%b" % (head, offset, CONTENT_KEY, token, CONTENT_END)
 
 
 def frame_head(request_id: str, lineage: str) -> bytes:
-    """Return what each event of a generation starts with, up to the offset."""
+    """Return the common start of a generation's events, up to the offset."""
     return (
         f'data: {{"id":{json.dumps(request_id)},"lineage":{json.dumps(lineage)}'
         ',"offset":'
--- a/src/rosemaryknot/standin/peak.py
+++ b/src/rosemaryknot/standin/peak.py
@@ -97,13 +97,13 @@
         await self.set_leaving(self.load.from_s, True)
         await self.set_leaving(self.load.until_s, False)
 
-    async def set_leaving(self, at_s: float, is_leaving: bool) -> None:
+    async def set_leaving(self, at_s: float, is_draining: bool) -> None:
         """Tell all gateways that servers leave, or are back with nothing kept."""
         await trio.sleep_until(at_s)
         for number in range(self.load.gone):
             self.engines[f"s{number}"].kept.clear()
             for gateway in self.gateways:
-                gateway.table.by_id[f"s{number}"].entry.is_leaving = is_leaving
+                gateway.table.by_id[f"s{number}"].entry.is_draining = is_draining
 
     async def tell(self) -> None:
         """Let the gateways tell each other what they have in flight."""
--- a/src/rosemaryknot/standin/peak_gateway.py
+++ b/src/rosemaryknot/standin/peak_gateway.py
@@ -96,7 +96,7 @@
 
     def place(self, size: ModelInput) -> Candidate:
         """Choose a server."""
-        states = [s for s in self.table.by_id.values() if not s.entry.is_leaving]
+        states = [s for s in self.table.by_id.values() if not s.entry.is_draining]
         candidates = []
         for state in eligible_servers(states, trio.current_time(), set(), True):
             requests, tokens = state.load()
--- a/src/rosemaryknot/standin/users/audit.py
+++ b/src/rosemaryknot/standin/users/audit.py
@@ -33,7 +33,7 @@
         Its id.
     kind : str
         ``plain`` or ``stream``.
-    may_repeat : bool
+    allows_retry : bool
         Whether it may run again.
     status : int
         0 where no head of an answer came.
@@ -51,7 +51,7 @@
 
     id: str
     kind: str
-    may_repeat: bool
+    allows_retry: bool
     status: int = 0
     body: bytes = b""
     is_whole: bool = False
@@ -167,7 +167,7 @@
     """Find what may not repeat and ran more than once."""
     for asked in seen.asked:
         runs = seen.runs.get(asked.id, 0)
-        if not asked.may_repeat and runs > 1:
+        if not asked.allows_retry and runs > 1:
             yield f"{asked.id} ran {runs} times"
 
 
@@ -175,7 +175,7 @@
 def not_run_is_true(seen: Seen) -> Iterable[str]:
     """Find what was refused as not run and ran."""
     for asked in seen.asked:
-        if asked.may_repeat or asked.status not in NOT_RUN:
+        if asked.allows_retry or asked.status not in NOT_RUN:
             continue
         if seen.runs.get(asked.id, 0):
             yield f"{asked.id} was answered {asked.status} and ran"
--- a/src/rosemaryknot/standin/users/raw_http.py
+++ b/src/rosemaryknot/standin/users/raw_http.py
@@ -7,7 +7,7 @@
 import h11
 import trio
 
-from rosemaryknot.connection.network import Network, drop_undelivered
+from rosemaryknot.connection.network import Network, reset_on_close
 from rosemaryknot.values.nodes import Address
 
 __all__ = ["RawRequest", "RawServer", "RawWire"]
@@ -85,7 +85,7 @@
         """Reset the connection."""
         self.is_open = False
         if isinstance(self.stream, trio.SocketStream):
-            drop_undelivered(self.stream)
+            reset_on_close(self.stream)
         else:
             self.stream.kill()
 
--- a/src/rosemaryknot/values/claim_peers.py
+++ b/src/rosemaryknot/values/claim_peers.py
@@ -1,4 +1,4 @@
-"""Messages between agents about owned shards: claims, copies, handover, the map."""
+"""Messages between agents about shards: claims, replication, handover and the map."""
 
 from dataclasses import dataclass, field
 from typing import Any, ClassVar
@@ -6,32 +6,32 @@
 from rosemaryknot.values.messages import Message, message
 
 __all__ = [
-    "CopiesGathered",
-    "CopiesStored",
-    "CopyRecords",
-    "GatherCopies",
+    "ReplicasGathered",
+    "ReplicasStored",
+    "ReplicateRecords",
+    "GatherReplicas",
     "HandoverRecords",
     "HandoverStored",
-    "MapAsk",
+    "MapRequest",
     "MapPush",
     "NotOwner",
     "OwnerCall",
     "WireRecord",
 ]
 
-# Customer, service, key and the record's fields.
+# Customer, service, key, and the fields of the record.
 WireRecord = list[Any]
 
 
 @message("claim_owner_call")
 @dataclass(slots=True)
 class OwnerCall(Message):
-    """Passes a claim, closing or result on to the owner of its shard.
+    """Forwards a claim, closing or result to the owner of its shard.
 
     Attributes
     ----------
     payload : bytes
-        The encoded message.
+        Encoded message.
     """
 
     kind: ClassVar[str]
@@ -41,12 +41,12 @@
 @message("claim_not_owner")
 @dataclass(slots=True)
 class NotOwner(Message):
-    """The called node did not handle the call: it does not admit for the shard now.
+    """The called node did not handle the call; it does not admit for the shard now.
 
     Attributes
     ----------
     shard_map : dict or None
-        The newest shard map it knows.
+        Newest shard map that the node knows.
     """
 
     kind: ClassVar[str]
@@ -55,8 +55,8 @@
 
 @message("claim_map_ask")
 @dataclass(slots=True)
-class MapAsk(Message):
-    """Asks a peer for its shard map where that is newer.
+class MapRequest(Message):
+    """Request for the shard map of a peer, if it is newer.
 
     Attributes
     ----------
@@ -71,12 +71,12 @@
 @message("claim_map_push")
 @dataclass(slots=True)
 class MapPush(Message):
-    """Gives a shard map.
+    """A shard map.
 
     Attributes
     ----------
     shard_map : dict or None
-        The map; None where the sender has no newer one.
+        The map; None if the sender has no newer one.
     """
 
     kind: ClassVar[str]
@@ -85,8 +85,8 @@
 
 @message("claim_copy")
 @dataclass(slots=True)
-class CopyRecords(Message):
-    """Asks a peer to hold copies of records.
+class ReplicateRecords(Message):
+    """Request to a peer to store replicas of records.
 
     Attributes
     ----------
@@ -103,13 +103,13 @@
 
 @message("claim_copied")
 @dataclass(slots=True)
-class CopiesStored(Message):
-    """Tells whether the copies are held.
+class ReplicasStored(Message):
+    """Response to a `ReplicateRecords`.
 
     Attributes
     ----------
     stored : bool
-        False where there is no room.
+        Whether the records are stored; false if there is no capacity.
     """
 
     kind: ClassVar[str]
@@ -118,17 +118,17 @@
 
 @message("claim_gather")
 @dataclass(slots=True)
-class GatherCopies(Message):
-    """Asks for a page of the copies of a shard.
+class GatherReplicas(Message):
+    """Request for a page of the replicas of a shard.
 
     Attributes
     ----------
     shard : int
         The shard.
     node : str
-        Node that gathers.
+        Node that gathers the replicas.
     after : int
-        Cursor of the page before; 0 for the first one.
+        Cursor from the previous page; 0 for the first page.
     """
 
     kind: ClassVar[str]
@@ -139,18 +139,18 @@
 
 @message("claim_gathered")
 @dataclass(slots=True)
-class CopiesGathered(Message):
-    """A page of copies.
+class ReplicasGathered(Message):
+    """A page of replicas.
 
     Attributes
     ----------
     records : list
         `WireRecord` values.
     after : int
-        Cursor for the next page; 0 where this is the last one.
+        Cursor for the next page; 0 if this is the last one.
     age_s : float
-        For how long the sender's process has held copies. An earlier process of the
-        node may have held more.
+        How long the process of the sender has stored replicas, in seconds. An earlier
+        process of the node may have stored more.
     """
 
     kind: ClassVar[str]
@@ -162,25 +162,26 @@
 @message("claim_handover")
 @dataclass(slots=True)
 class HandoverRecords(Message):
-    """Hands a part of a shard's table to its successor.
+    """A part of the table of a shard, handed over to the next owner.
 
     Attributes
     ----------
     shard : int
         The shard.
     epoch : int
-        Epoch that the successor will own it under.
+        Epoch of the ownership of the next owner.
     records : list
         `WireRecord` values.
     is_first, is_last : bool
-        Whether the table starts or ends here.
+        Whether this is the first or the last part of the table.
     serial : int
-        Rises with each try of the owner, so that a part of an earlier try which
-        comes late is told apart.
+        Increases with each handover attempt of the owner, so that a late part of an
+        earlier attempt is recognized.
     since : int
-        The shard's ``since`` of the map, which a handover leaves as it is.
+        ``since`` of the shard in the map, which a handover does not change.
     doubt_age_s : float
-        How long ago the table was last lost with an owner; negative where never.
+        How long ago the table was last lost with an owner, in seconds; negative if
+        never.
     """
 
     kind: ClassVar[str]
@@ -197,12 +198,12 @@
 @message("claim_handover_stored")
 @dataclass(slots=True)
 class HandoverStored(Message):
-    """Tells whether the successor holds the part.
+    """Response of the next owner to a `HandoverRecords`.
 
     Attributes
     ----------
     stored : bool
-        False where there is no room.
+        Whether the records are stored; false if there is no capacity.
     """
 
     kind: ClassVar[str]
--- a/src/rosemaryknot/values/claims.py
+++ b/src/rosemaryknot/values/claims.py
@@ -1,7 +1,7 @@
 """Messages of at-most-once execution between an entry and its agent.
 
-An entry claims the right to send a request before it sends it, and records what
-came of it. The right is granted at most once for an id, never for a time.
+An entry claims the right to send a request before it sends it, and records the result
+afterwards. The right is granted at most once per id, and does not expire.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 from rosemaryknot.values.messages import Message, message
 
 __all__ = [
-    "MAX_KEPT_BODY_BYTES",
+    "MAX_STORED_BODY_BYTES",
     "ClaimAnswered",
     "ClaimGranted",
     "ClaimId",
@@ -26,18 +26,18 @@
     "ResultStored",
 ]
 
-# Answers up to this size are kept for repeats.
-MAX_KEPT_BODY_BYTES = 256 * 1024
+# Responses up to this size are stored for retries.
+MAX_STORED_BODY_BYTES = 256 * 1024
 
 
 @dataclass(slots=True, frozen=True)
 class ClaimId:
-    """What a request is known by for at-most-once execution.
+    """Identifies a request for at-most-once execution.
 
     Attributes
     ----------
     customer : str
-        Customer that sent it; ids of two customers never meet.
+        Customer that sent it; ids of different customers never collide.
     service : str
         Service that it is for.
     key : str
@@ -50,7 +50,7 @@
 
 
 class RefusedKind(StrEnum):
-    """What a refused claim means for the caller."""
+    """State of a request whose claim was refused, as told to the caller."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -58,7 +58,7 @@
 
 
 class ResultKind(StrEnum):
-    """What came of a grant."""
+    """Result of a granted claim."""
 
     ANSWERED = "answered"
     NOT_SENT = "not_sent"
@@ -68,25 +68,25 @@
 @message("claim_request")
 @dataclass(slots=True)
 class ClaimRequest(Message):
-    """Asks for the right to send a request.
+    """Request for the right to send a request to a backend server.
 
     Attributes
     ----------
     customer, service, key
         See `ClaimId`.
     claim : str
-        Unique name of this claim, chosen by the entry; also names the grant.
+        Unique name of this claim, chosen by the entry; also identifies the grant.
     attempt : int
-        Attempt that the caller declared, from 1; 0 where none was declared.
+        Attempt number declared by the caller, from 1; 0 if it declared none.
     body_digest : bytes
-        Tells a reused key from a repeat.
+        Digest that distinguishes a reused key from a retry.
     arrival_number : int
-        Number of the shard map that the entry knew when the request arrived; a
-        request that arrived before its shard was taken over may have been closed.
+        Number of the shard map that the entry knew when the request arrived. A
+        request that arrived before its shard changed owner may have been closed.
     timeout_s : float
-        Bound on the run; after it an open grant counts as unknown.
+        Timeout of the execution, after which an open grant counts as unknown.
     horizon_s : float
-        How long the id and its answer are kept.
+        How long the id and its response are stored.
     """
 
     kind: ClassVar[str]
@@ -102,19 +102,19 @@
 
     @property
     def id(self) -> ClaimId:
-        """Id that the claim is for."""
+        """Id of the claimed request."""
         return ClaimId(self.customer, self.service, self.key)
 
 
 @message("claim_granted")
 @dataclass(slots=True)
 class ClaimGranted(Message):
-    """The claim holds the right to send, once.
+    """The claim gives the right to send the request once.
 
     Attributes
     ----------
     claim : str
-        Name of the claim that was granted.
+        Name of the granted claim.
     """
 
     kind: ClassVar[str]
@@ -124,7 +124,7 @@
 @message("claim_answered")
 @dataclass(slots=True)
 class ClaimAnswered(Message):
-    """The id has been answered; this is the kept answer.
+    """The id has been answered already; carries the stored response.
 
     Attributes
     ----------
@@ -141,7 +141,7 @@
 @message("claim_refused")
 @dataclass(slots=True)
 class ClaimRefused(Message):
-    """The claim gives no right to send.
+    """The claim does not give the right to send the request.
 
     Attributes
     ----------
@@ -150,12 +150,12 @@
     reason : str
         A `rosemaryknot.values.outcomes.Reason`.
     retry_after_s : float
-        When to come back; 0 where coming back does not help.
+        Delay before a retry, in seconds; 0 if a retry does not help.
     detail : str
-        A sentence for people.
+        Explanation for people.
     maybe_granted : bool
-        Whether the claim may have been granted all the same, by an answer that got
-        lost; the entry then gives it up with a `ResultRecord`.
+        Whether the claim may have been granted by a response that was lost; the
+        entry then releases it with a `ResultRecord`.
     """
 
     kind: ClassVar[str]
@@ -169,16 +169,16 @@
 @message("claim_close")
 @dataclass(slots=True)
 class CloseRequest(Message):
-    """Asks that no attempt up to a number ever runs.
+    """Request to close all attempts up to a number, so that none of them ever runs.
 
     Attributes
     ----------
     customer, service, key
         See `ClaimId`.
     attempt : int
-        Highest attempt to close; 0 closes all, as it has no place in the order.
+        Highest attempt to close; 0, which has no place in the order, closes all.
     horizon_s : float
-        How long the closing is kept.
+        How long the closing is stored.
     """
 
     kind: ClassVar[str]
@@ -190,27 +190,28 @@
 
     @property
     def id(self) -> ClaimId:
-        """Id that is closed."""
+        """Id whose attempts are closed."""
         return ClaimId(self.customer, self.service, self.key)
 
 
 @message("claim_closed")
 @dataclass(slots=True)
 class CloseReply(Message):
-    """Tells whether the attempts are closed.
+    """Response to a `CloseRequest`.
 
     Attributes
     ----------
     closed : bool
-        Whether none of them ran or will run. Only then may "not run" be said.
+        Whether no attempt ran or will run. Only then may the caller be told "not
+        run".
     outcome : str
-        Otherwise a `RefusedKind`, or ``answered``.
+        If not closed, a `RefusedKind` or ``answered``.
     reason : str
-        Otherwise a `rosemaryknot.values.outcomes.Reason`.
+        If not closed, a `rosemaryknot.values.outcomes.Reason`.
     retry_after_s : float
-        When to ask again.
+        Delay before a retry, in seconds.
     status, headers, body
-        The kept answer, where the id has been answered.
+        The stored response, if the id has been answered.
     """
 
     kind: ClassVar[str]
@@ -226,7 +227,7 @@
 @message("claim_result")
 @dataclass(slots=True)
 class ResultRecord(Message):
-    """Tells what came of a claim.
+    """Result of a claim.
 
     Attributes
     ----------
@@ -236,17 +237,17 @@
         A `ResultKind`.
     close : bool
         For ``not_sent``: whether the caller is told "not run", so that all attempts
-        up to this one must stay closed. A claim that never reached the owner is
-        closed in any case, since it may still be on its way.
+        up to this one must stay closed. A claim that did not reach the owner is
+        always closed, since it may still arrive.
     reason : str
         For ``unknown``: a `rosemaryknot.values.outcomes.Reason`.
     status, headers, body
         For ``answered``: see `rosemaryknot.values.outcomes.Answered`.
     is_whole : bool
-        Whether ``body`` is the whole body. A large one is left out; then a repeat is
-        told that the request ran, without its answer.
+        Whether ``body`` is the whole body. A large body is omitted; a retry is then
+        told that the request ran, without the response.
     horizon_s : float
-        How long the result is kept.
+        How long the result is stored.
     """
 
     kind: ClassVar[str]
@@ -266,19 +267,19 @@
 
     @property
     def id(self) -> ClaimId:
-        """Id that the claim was for."""
+        """Id of the claimed request."""
         return ClaimId(self.customer, self.service, self.key)
 
 
 @message("claim_result_stored")
 @dataclass(slots=True)
 class ResultStored(Message):
-    """Tells whether a result is kept; one that is not is sent again.
+    """Response to a `ResultRecord`; a result that is not stored is sent again.
 
     Attributes
     ----------
     stored : bool
-        Whether it is kept, or needs no keeping.
+        Whether the result is stored, or need not be.
     """
 
     kind: ClassVar[str]
@@ -293,7 +294,7 @@
     Attributes
     ----------
     number : int
-        Rises with each change of the map.
+        Increases with each change of the map.
     """
 
     kind: ClassVar[str]
--- a/src/rosemaryknot/values/compression.py
+++ b/src/rosemaryknot/values/compression.py
@@ -2,42 +2,42 @@
 
 import zstandard
 
-__all__ = ["CompressionError", "unpacked"]
+__all__ = ["CompressionError", "decompress_frame"]
 
 
 class CompressionError(ValueError):
-    """Bytes that are no zstandard frame, or unpack to more than a bound."""
+    """Raised for bytes that are not a valid zstandard frame, or exceed a limit."""
 
 
-def unpacked(
+def decompress_frame(
     data: bytes, limit: int, dictionary: zstandard.ZstdCompressionDict | None = None
 ) -> bytes:
-    """Return what a frame holds.
+    """Return the decompressed content of a frame.
 
     Parameters
     ----------
     data : bytes
-        The frame.
+        The compressed frame.
     limit : int
-        Most bytes that it may unpack to.
+        Maximum size of the content, in bytes.
     dictionary : zstandard.ZstdCompressionDict, optional
-        What it was made with.
+        Dictionary that the frame was compressed with.
 
     Returns
     -------
     content : bytes
-        What was compressed.
+        Decompressed bytes.
 
     Raises
     ------
     CompressionError
-        If it is no frame, or its content is larger.
+        If the data is not a frame, or its content exceeds the limit.
     """
     try:
-        # Known before anything is unpacked: a small frame may claim any size.
+        # Checked before decompression, since a small frame may declare any size.
         size = zstandard.frame_content_size(data)
         if not 0 <= size <= limit:
-            raise CompressionError(f"a frame of {size} bytes")
+            raise CompressionError(f"invalid content size of frame: {size} bytes")
         return zstandard.ZstdDecompressor(dict_data=dictionary).decompress(data)
     except zstandard.ZstdError as error:
-        raise CompressionError("cannot be decompressed") from error
+        raise CompressionError("zstandard frame cannot be decompressed") from error
--- a/src/rosemaryknot/values/configuration.py
+++ b/src/rosemaryknot/values/configuration.py
@@ -1,4 +1,4 @@
-"""Messages that spread the configuration, and the digest that names its content."""
+"""Messages that distribute the configuration, and the digest of its content."""
 
 import hashlib
 import json
@@ -16,10 +16,10 @@
 
 
 def canonical(value: Any) -> Any:
-    """Return the value with whole floats as integers.
+    """Return the value with integral floats as integers.
 
-    A store may hand 3.0 back as 3. The digest of the same document would then
-    differ and every node would report a conflict.
+    A store may return 3.0 as 3. The digest of the same document would then differ, and
+    every node would report a conflict.
     """
     if isinstance(value, dict):
         return {str(key): canonical(item) for key, item in value.items()}
@@ -36,12 +36,12 @@
     Parameters
     ----------
     document : dict
-        JSON value.
+        JSON object.
 
     Returns
     -------
     digest : str
-        SHA-256 in hex, the same for the same content in any key order.
+        SHA-256 in hex, independent of the order of keys.
 
     Examples
     --------
@@ -55,21 +55,21 @@
 @message("configuration_push")
 @dataclass(slots=True)
 class ConfigurationPush(Message):
-    """A whole version of the configuration: agent to entry, and peer to peer.
+    """A complete version of the configuration, from agent to entry or between peers.
 
     Attributes
     ----------
     number : int
-        Version; 0 where the sender holds none.
+        Version; 0 if the sender has none.
     digest : str
         `document_digest` of the document.
     document : dict
         The configuration document.
     settles : int
-        Highest number up to which an operator has settled a conflict of digests
-        by this version; 0 where none.
+        Highest version up to which an operator resolved a conflict of digests by
+        this version; 0 for none.
     lineage : list of [int, str]
-        Earlier numbers with the start of their digests, newest last and bounded.
+        Recent earlier versions with the start of their digests, newest last.
     """
 
     kind: ClassVar[str]
@@ -83,14 +83,14 @@
 @message("configuration_offer")
 @dataclass(slots=True)
 class ConfigurationOffer(Message):
-    """The version that the sender holds; a receiver fetches what is newer.
+    """The version that the sender has; a receiver with an older one fetches it.
 
     Attributes
     ----------
     number : int
-        Version; 0 where the sender holds none.
+        Version; 0 if the sender has none.
     digest : str
-        Digest of its document.
+        Digest of the document.
     """
 
     kind: ClassVar[str]
@@ -101,12 +101,12 @@
 @message("configuration_fetch")
 @dataclass(slots=True)
 class ConfigurationFetch(Message):
-    """Ask for the version held; answered by a `ConfigurationPush`.
+    """Request for the current version; answered by a `ConfigurationPush`.
 
     Attributes
     ----------
     number : int
-        Version that the sender expects at least.
+        Minimum version that the sender expects.
     """
 
     kind: ClassVar[str]
--- a/src/rosemaryknot/values/control.py
+++ b/src/rosemaryknot/values/control.py
@@ -1,4 +1,4 @@
-"""Messages of an agent's other duties: servers, decisions, planned stops."""
+"""Messages of an agent for servers, decisions and graceful shutdown."""
 
 from dataclasses import dataclass, field
 from typing import ClassVar
@@ -10,23 +10,23 @@
     "DecisionsFound",
     "DrainAccepted",
     "DrainRequest",
-    "LeavingMarkTaken",
+    "LeavingMarkApplied",
     "ServersFetch",
-    "ServersSame",
+    "ServersUnchanged",
 ]
 
 
 @message("servers_fetch")
 @dataclass(slots=True)
 class ServersFetch(Message):
-    """Asks for the backend servers that a peer knows, if they differ.
+    """Request for the backend servers that a peer knows, if they differ.
 
-    Answered by a `rosemaryknot.values.servers.ServersPush` or a `ServersSame`.
+    Answered by a `rosemaryknot.values.servers.ServersPush` or a `ServersUnchanged`.
 
     Attributes
     ----------
     digest : int
-        Digest of the servers and marks that the sender knows.
+        Digest of the servers and draining marks that the sender knows.
     """
 
     kind: ClassVar[str]
@@ -35,8 +35,8 @@
 
 @message("servers_same")
 @dataclass(slots=True)
-class ServersSame(Message):
-    """Tells that the two ends know the same backend servers.
+class ServersUnchanged(Message):
+    """Response that both peers know the same backend servers.
 
     Attributes
     ----------
@@ -50,8 +50,8 @@
 
 @message("leaving_mark_taken")
 @dataclass(slots=True)
-class LeavingMarkTaken(Message):
-    """Tells that a mark of a leaving server has been taken over."""
+class LeavingMarkApplied(Message):
+    """Response that the mark of a draining server has been applied."""
 
     kind: ClassVar[str]
 
@@ -59,7 +59,7 @@
 @message("decisions_fetch")
 @dataclass(slots=True)
 class DecisionsFetch(Message):
-    """Asks a process what it remembers of a request.
+    """Request for the recorded decisions of a process about a request.
 
     Attributes
     ----------
@@ -74,7 +74,7 @@
 @message("decisions_found")
 @dataclass(slots=True)
 class DecisionsFound(Message):
-    """What a process remembers of a request.
+    """Recorded decisions of a process about a request.
 
     Attributes
     ----------
@@ -89,14 +89,14 @@
 @message("drain_request")
 @dataclass(slots=True)
 class DrainRequest(Message):
-    """Asks a process for a planned stop.
+    """Request to a process for a graceful shutdown.
 
     Attributes
     ----------
     operator : str
-        Who asked, for the log.
+        Operator that sent the request, for the log.
     deadline_unix_s : float
-        When the node is taken away, as seconds of the epoch; 0 where it is not.
+        When the node is terminated, in seconds since the epoch; 0 if it is not.
     """
 
     kind: ClassVar[str]
@@ -107,12 +107,12 @@
 @message("drain_accepted")
 @dataclass(slots=True)
 class DrainAccepted(Message):
-    """Tells that the planned stop has begun.
+    """Response that the graceful shutdown has begun.
 
     Attributes
     ----------
     entries : int
-        Entries that were asked too.
+        Number of entries to which the request was forwarded.
     """
 
     kind: ClassVar[str]
--- a/src/rosemaryknot/values/duties.py
+++ b/src/rosemaryknot/values/duties.py
@@ -1,4 +1,8 @@
-"""Calls that one gateway at a time makes for all: usage and sizes of services."""
+"""Calls of duties to the platform: reports of usage and orders of service sizes.
+
+A duty is a task that only the holder of a lease performs, here one gateway at a time
+on behalf of all.
+"""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,16 +12,16 @@
 
 @dataclass(slots=True, frozen=True)
 class SizeOrder:
-    """How many servers of a kind a service is to have in an availability zone.
+    """Order for a number of servers of one kind for a service in an availability zone.
 
     Attributes
     ----------
     service, zone : str
-        Where.
+        Service and availability zone.
     is_reclaimable : bool
-        Which kind; each is counted for itself.
+        Whether the servers are reclaimable; the two kinds are counted separately.
     count : int
-        How many.
+        Number of servers that the service is to have.
     """
 
     service: str
@@ -28,36 +32,36 @@
 
 @dataclass(slots=True)
 class DutyDone:
-    """The platform has taken the call."""
+    """The platform accepted the call."""
 
 
 @dataclass(slots=True)
 class DutyRefused:
-    """The platform has refused: a higher fencing number was seen, or none is there."""
+    """The platform refused the call: its fencing token is outdated or missing."""
 
 
 @dataclass(slots=True)
 class DutyFailed:
-    """No answer, or none that tells; the call may still be carried out.
+    """No response, or an inconclusive one; the call may still take effect.
 
     Attributes
     ----------
     reason : str
-        What happened.
+        Cause of the failure.
     """
 
     reason: str
 
 
 class DutyCalls(Protocol):
-    """The calls, as the adapter of a platform fills them in."""
+    """The calls of duties, implemented by the adapter of a platform."""
 
     async def send_usage(
         self, window: int, counts: dict[str, int], fencing: int
     ) -> DutyDone | DutyRefused | DutyFailed:
-        """Tell the usage of a window."""
+        """Report the usage of a window."""
 
     async def send_order(
         self, order: SizeOrder, fencing: int
     ) -> DutyDone | DutyRefused | DutyFailed:
-        """Order servers."""
+        """Order a number of servers."""
--- a/src/rosemaryknot/values/gateway.py
+++ b/src/rosemaryknot/values/gateway.py
@@ -1,7 +1,7 @@
-"""What a gateway knows: routes, services, customers, backend servers, requests.
+"""Decoded values of a gateway: configuration, backend servers and requests.
 
-Everything here is already decoded; durations are in seconds and limits in the units
-that their fields name.
+The adapter of the platform decodes them. Durations are in seconds; limits are in the
+units named by their fields.
 """
 
 import math
@@ -21,7 +21,7 @@
     "GatewayService",
     "ModelInput",
     "PromptSegment",
-    "Repeat",
+    "RetryPolicy",
     "RoutedServer",
     "ScalingLimits",
 ]
@@ -29,8 +29,11 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class Repeat(StrEnum):
-    """What may be done to a request more than once."""
+class RetryPolicy(StrEnum):
+    """Which requests of a route may be sent again after they may have run.
+
+    ``ANY`` allows all, ``ONCE`` none, and ``STREAM`` those whose stream can be resumed.
+    """
 
     ANY = "any"
     ONCE = "once"
@@ -39,38 +42,38 @@
 
 @dataclass(slots=True)
 class GatewayRoute:
-    """Where requests of a host and path prefix go.
+    """A route: the services that get the requests of a host and path prefix.
 
     Attributes
     ----------
     name, host, path_prefix : str
-        Name, and what selects the route.
-    repeat : str
-        A `Repeat` value.
+        Name of the route, and the host and path prefix that select it.
+    retry_policy : str
+        A `RetryPolicy` value.
     timeout_s : float
-        Longest that a request is kept waiting.
+        Longest time that a request may take.
     target_s : float
-        Time to the answer, or to a stream's first event, that is wanted.
-    pause_s : float
-        Longest pause between a stream's events with which it is in time.
+        Target for the time to the response, or to the first event of a stream.
+    max_event_gap_s : float
+        Longest gap between events with which a stream meets its target.
     priority : int
-        Rank; 0 is the most urgent.
+        Priority; 0 is the highest.
     backends : list of tuple of (str, float)
-        Services and their weights.
+        Names of services and their weights.
     max_attempts : int
-        Servers to which one request may be sent.
+        Maximum number of servers to which one request may be sent.
     is_public : bool
-        Whether no key is needed.
+        Whether requests need no API key.
     is_resumable : bool
-        Whether a stream may go on at another server.
+        Whether a stream may be resumed at another server.
     is_model : bool
-        Whether its requests carry the parts of their prompts.
+        Whether its requests list the segments of their prompts.
     """
 
     name: str
     host: str
     path_prefix: str
-    repeat: str
+    retry_policy: str
     timeout_s: float
     target_s: float
     priority: int
@@ -79,26 +82,26 @@
     is_public: bool = False
     is_resumable: bool = False
     is_model: bool = False
-    pause_s: float = math.inf
+    max_event_gap_s: float = math.inf
 
     @property
-    def may_repeat(self) -> bool:
-        """Whether a request may run again after it may have run."""
-        return self.repeat == Repeat.ANY or (
-            self.repeat == Repeat.STREAM and self.is_resumable
+    def allows_retry(self) -> bool:
+        """Whether a request may be sent again after it may have run."""
+        return self.retry_policy == RetryPolicy.ANY or (
+            self.retry_policy == RetryPolicy.STREAM and self.is_resumable
         )
 
 
 @dataclass(slots=True)
 class EngineLimits:
-    """What a model server can hold.
+    """Capacity of a model server.
 
     Attributes
     ----------
     slots : int
-        Requests that run at once.
+        Requests that run concurrently.
     kv_tokens : int
-        Tokens that fit its memory.
+        Tokens that fit into its KV cache.
     """
 
     slots: int
@@ -107,18 +110,19 @@
 
 @dataclass(slots=True)
 class ScalingLimits:
-    """Within which the number of a service's servers may be set.
+    """Bounds and prices for scaling a service.
 
     Attributes
     ----------
     min_servers, max_servers : int
-        For each availability zone, of both kinds together.
+        Bounds for each availability zone, reclaimable and other servers together.
     boot_s : float
-        From the order to the first request.
+        Time from the order of a server to its first request.
     reclaimable_price : float
-        Price of a reclaimable server against another one's; 0 where there are none.
+        Price of a reclaimable server as a share of the price of another one; 0 if the
+        service has no reclaimable servers.
     zone_prices : dict of str to float
-        Price of a server for a second, by availability zone.
+        Price of a server per second, by availability zone.
     """
 
     min_servers: int
@@ -130,18 +134,18 @@
 
 @dataclass(slots=True)
 class GatewayService:
-    """A service behind routes.
+    """A service that routes refer to.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the service.
     max_connections : int
-        Connections that each of its servers accepts from all callers together.
+        Connections that each of its servers accepts in total.
     engine : EngineLimits or None
-        Where its servers are model servers.
+        Capacity of each server; None if they are not model servers.
     scaling : ScalingLimits or None
-        Where the number of its servers is ours to set.
+        Bounds for scaling; None if the gateway does not scale the service.
     """
 
     name: str
@@ -152,22 +156,22 @@
 
 @dataclass(slots=True)
 class CustomerLimit:
-    """A customer and what it may use, over all instances together.
+    """A customer and its rate limit, over all instances together.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the customer.
     priority : int or None
-        Goes before that of the route.
+        Overrides the priority of the route.
     rate : float
-        Units per second; 0 where there is no limit.
+        Units per second; 0 for no limit.
     burst : float
-        Units besides.
+        Units that may be used at once in addition to the rate.
     counts_tokens : bool
         Whether the unit is a token rather than a request.
     plain_tokens : int
-        What a request that names no tokens counts for.
+        Tokens charged for a request that does not state its tokens.
     """
 
     name: str
@@ -180,16 +184,16 @@
 
 @dataclass(slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on what a caller may send, and for how long.
 
     Attributes
     ----------
     max_header_bytes, max_body_bytes : int
-        Sizes.
+        Maximum sizes.
     header_timeout_s : float
-        From the first byte of a request to the end of its headers.
+        Time from the first byte of a request to the end of its headers.
     idle_timeout_s : float
-        How long a kept connection may stay without a request.
+        How long a persistent connection may stay without a request.
     """
 
     max_header_bytes: int = 16384
@@ -205,21 +209,21 @@
     Attributes
     ----------
     version : int
-        Only rises.
+        Version number, which only increases.
     routes_by_host : dict of str to list of GatewayRoute
-        The longest path prefix first.
+        Routes by host, in order of decreasing path prefix length.
     services : dict of str to GatewayService
-        By name.
+        Services by name.
     customers : dict of str to CustomerLimit
-        By name; empty where no keys are asked for.
+        Customers by name; empty if no API keys are required.
     customer_by_key : dict of str to str
-        Names by key.
+        Names of customers by API key.
     limits : CallerLimits
-        Of callers' connections.
-    last_rank_by_service : dict of str to int
-        The least urgent rank among the routes to a service.
-    pause_s_by_service : dict of str to float
-        The shortest pause that the routes to a service allow.
+        Limits on callers' connections.
+    lowest_priority_by_service : dict of str to int
+        Lowest priority (the highest number) among the routes to a service.
+    min_event_gap_s_by_service : dict of str to float
+        Shortest gap between events among the routes to a service.
     """
 
     version: int
@@ -228,21 +232,27 @@
     customers: dict[str, CustomerLimit] = field(default_factory=dict)
     customer_by_key: dict[str, str] = field(default_factory=dict)
     limits: CallerLimits = field(default_factory=CallerLimits)
-    last_rank_by_service: dict[str, int] = field(init=False, default_factory=dict)
-    pause_s_by_service: dict[str, float] = field(init=False, default_factory=dict)
+    lowest_priority_by_service: dict[str, int] = field(init=False, default_factory=dict)
+    min_event_gap_s_by_service: dict[str, float] = field(
+        init=False, default_factory=dict
+    )
 
     def __post_init__(self) -> None:
-        """Find what the routes to each service have in common."""
-        ranks = self.last_rank_by_service
-        pauses = self.pause_s_by_service
+        """Compute the lowest priority and shortest event gap for each service."""
+        priorities = self.lowest_priority_by_service
+        gaps = self.min_event_gap_s_by_service
         for routes in self.routes_by_host.values():
             for route in routes:
                 for service, _ in route.backends:
-                    ranks[service] = max(ranks.get(service, 0), route.priority)
-                    pauses[service] = min(pauses.get(service, math.inf), route.pause_s)
+                    priorities[service] = max(
+                        priorities.get(service, 0), route.priority
+                    )
+                    gaps[service] = min(
+                        gaps.get(service, math.inf), route.max_event_gap_s
+                    )
 
     def route_of(self, host: str, path: str) -> GatewayRoute | None:
-        """Return the route with the longest prefix of the path, or None.
+        """Return the route with the longest matching path prefix, or None.
 
         Examples
         --------
@@ -261,24 +271,25 @@
 
 @dataclass(slots=True)
 class RoutedServer:
-    """A backend server as its entry in the store tells.
+    """A backend server, decoded from its entry in the store.
 
     Attributes
     ----------
     incarnation : ServerIncarnation
-        Which life of which server; an address may be used again by another.
+        Id and incarnation of the server. The address does not identify it, since
+        another server may reuse it.
     service, zone : str
-        What it serves, and where.
+        Service that it runs, and its availability zone.
     address : Address
-        Where it listens.
+        Address that it listens on.
     slots : int
-        Requests that it works on at once; 0 where not told.
-    is_leaving : bool
-        Whether it takes no new work.
+        Requests that it runs concurrently; 0 if unknown.
+    is_draining : bool
+        Whether it accepts no new requests.
     is_reclaimable : bool
-        Whether the cloud may take it back.
-    leaves_s : float or None
-        How long after the entry was written it ends, where known.
+        Whether the cloud may reclaim it.
+    shutdown_after_s : float or None
+        Time from the writing of the entry to the end of the server; None if unknown.
     """
 
     incarnation: ServerIncarnation
@@ -286,31 +297,31 @@
     zone: str
     address: Address
     slots: int = 0
-    is_leaving: bool = False
+    is_draining: bool = False
     is_reclaimable: bool = False
-    leaves_s: float | None = None
+    shutdown_after_s: float | None = None
 
     @property
     def id(self) -> str:
-        """Its id, which a later life may have as well."""
+        """Id of the server, which a later incarnation may share."""
         return self.incarnation.id
 
     @property
     def born(self) -> int | None:
-        """When this life started, in milliseconds of the epoch, where it was told."""
+        """Start of this incarnation, in milliseconds since the epoch, if known."""
         return self.incarnation.born_ms
 
 
 @dataclass(slots=True, frozen=True)
 class PromptSegment:
-    """A part of a prompt that requests may share.
+    """A segment of a prompt that several requests may share.
 
     Attributes
     ----------
     id : str
-        Equal for equal text in front of it and in it.
+        Equal for segments with the same text and the same text before them.
     tokens : int
-        Its length.
+        Length of the segment.
     """
 
     id: str
@@ -324,9 +335,10 @@
     Attributes
     ----------
     prompt_tokens, max_output_tokens : int
-        Sizes.
+        Size of the prompt, and limit on the size of the output.
     segments : tuple of PromptSegment
-        The prompt in order; the last part is the request's or its session's own.
+        Segments of the prompt in order; the last one is specific to the request or its
+        session.
     """
 
     prompt_tokens: int = 0
@@ -336,30 +348,30 @@
 
 @dataclass(slots=True)
 class GatewayRequest:
-    """A request of a caller, read whole.
+    """A request of a caller, with its whole body.
 
     Attributes
     ----------
     id : str
-        The caller's id of this attempt; empty where it gave none.
+        The caller's id of this attempt; empty if it sent none.
     method, target : bytes
-        As they came.
+        Method and target as received.
     host, path : str
-        What selects the route.
+        Host without port, and path without query string; they select the route.
     headers : list of tuple of (bytes, bytes)
-        Those that go on to the backend server.
+        Headers that are forwarded to the backend server.
     body : bytes
-        As it came.
+        Body as received.
     key : str or None
-        The API key.
-    patience_s : float or None
-        How long the caller waits, from ``arrived_s``.
+        The API key, if there is one.
+    caller_timeout_s : float or None
+        How long the caller waits after ``arrived_s``, if it said so.
     arrived_s : float
-        Trio time at which its headers were read.
+        Trio time when its headers were read.
     size : ModelInput or None
-        Tokens of a model request.
+        Tokens of a model request; None for other requests.
     last_event_id : bytes or None
-        Where a stream is to go on.
+        Id of the last event received; the stream resumes after it.
     """
 
     id: str
@@ -370,7 +382,7 @@
     headers: Headers
     body: bytes
     key: str | None
-    patience_s: float | None
+    caller_timeout_s: float | None
     arrived_s: float
     size: ModelInput | None = None
     last_event_id: bytes | None = None
--- a/src/rosemaryknot/values/gateway_peers.py
+++ b/src/rosemaryknot/values/gateway_peers.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other."""
+"""Messages between gateways."""
 
 import math
 from dataclasses import dataclass, field
@@ -7,8 +7,8 @@
 from rosemaryknot.values.messages import Message, message
 
 __all__ = [
-    "ConfigurationTold",
-    "ConfigurationWanted",
+    "ConfigurationReply",
+    "ConfigurationRequest",
     "DutyReports",
     "GatewayReport",
     "HubReport",
@@ -22,38 +22,42 @@
 @message("gateway_report")
 @dataclass(slots=True)
 class GatewayReport(Message):
-    """State of one gateway; each one replaces the one before, so losses mend.
+    """State of one gateway.
+
+    Each report replaces the previous one, so a lost report needs no retransmission.
 
     Attributes
     ----------
     node : str
-        Its name.
+        Name of the gateway.
     incarnation : int
-        Its life; totals start anew with it.
+        Incarnation of the gateway; totals restart with it.
     sequence : int
-        Rises with each report.
+        Increases with each report.
     clock_s : float
-        Its time of day, in seconds of the epoch.
+        Its wall clock, in seconds since the epoch.
     version : int
-        Its configuration; -1 where it has none.
+        Version of its configuration; -1 if it has none.
     revisions : dict
-        By kind of object: revision of the store up to which it knows them.
+        By kind of object: revision of the store up to which it knows all changes.
     seen : dict
-        By kind of object: revision of the newest change that it has taken over.
+        By kind of object: revision of the newest change that it has applied.
     returned_ago_s : float
-        How long ago it found the store again after a call that had failed, in
-        seconds; infinite where it never did.
+        How long ago the store became reachable again after a failed call, in
+        seconds; infinite if that never happened.
     spent : dict
-        By customer: units taken since its start, and units asked for in a second.
+        By customer: units acquired since the start of the gateway, and units
+        requested per second.
     runs : dict
-        By usage window, customer: requests that began to run.
+        By usage window and customer: requests that began to run.
     demand : dict
-        By service: prompt tokens in a second, requests in flight, tokens that a
-        server reads in a second.
+        By service: prompt tokens per second, requests in flight, and tokens that a
+        server prefills per second.
     lost : list of str
-        Kinds of objects for which the store does not answer it.
+        Kinds of objects for which the store does not respond to it.
     counted_s : float
-        Agreed time of day up to which ``runs`` are counted, in seconds of the epoch.
+        Time on the synchronized clock up to which ``runs`` are counted, in seconds
+        since the epoch.
     """
 
     kind: ClassVar[str]
@@ -75,17 +79,19 @@
 @message("gateway_load")
 @dataclass(slots=True)
 class LoadReport(Message):
-    """What one gateway has in flight; each one replaces the one before.
+    """Requests that one gateway has in flight; each report replaces the previous one.
 
     Attributes
     ----------
     node : str
-        Its name.
+        Name of the gateway.
     loads : dict
-        By server's life: requests in flight, and prompt tokens that wait. A life is
-        named by its text, so that sums keep the lives of one server apart.
+        By server incarnation: requests in flight, and prompt tokens pending prefill.
+        The text form of the incarnation is the key, so that aggregates keep the
+        incarnations of one server apart.
     places : list
-        Parts of prompts and the servers' lives that they went to since the last report.
+        Prompt segments sent since the last report, each with the server incarnation
+        that got it.
     """
 
     kind: ClassVar[str]
@@ -104,9 +110,9 @@
     kind_name : str
         Kind of the objects.
     revision : int
-        Of the store, up to which changes are in it.
+        Revision of the store up to which changes are included.
     objects : dict
-        Revision and value by name, all of the kind.
+        Revision and value of all objects of the kind, by name.
     """
 
     kind: ClassVar[str]
@@ -117,19 +123,19 @@
 
 @message("configuration_told")
 @dataclass(slots=True)
-class ConfigurationTold(Message):
-    """A version of the configuration, whole or as a difference to another one.
+class ConfigurationReply(Message):
+    """A version of the configuration, complete or as a difference from another one.
 
     Attributes
     ----------
     version : int
-        Its version; -1 where the sender has none.
+        Version; -1 if the sender has none.
     revision : int
-        Of the store, at which it was written.
+        Revision of the store at which it was written.
     base : int
-        Digest of the document that ``packed`` refers to; 0 where it is whole.
+        Digest of the document that ``packed`` is based on; 0 if it is complete.
     packed : bytes
-        See `rosemaryknot.process.gateway_documents`.
+        Compressed document; see `rosemaryknot.process.gateway_documents`.
     """
 
     kind: ClassVar[str]
@@ -141,15 +147,15 @@
 
 @message("configuration_wanted")
 @dataclass(slots=True)
-class ConfigurationWanted(Message):
-    """Asks a gateway for its configuration; answered by `ConfigurationTold`.
+class ConfigurationRequest(Message):
+    """Request for a gateway's configuration; answered by `ConfigurationReply`.
 
     Attributes
     ----------
     version : int
-        What the sender goes by; -1 for none.
+        Version that the sender uses; -1 for none.
     digest : int
-        Of its document, which the answer may refer to; 0 for none.
+        Digest of the sender's document, on which the reply may be based; 0 for none.
     """
 
     kind: ClassVar[str]
@@ -160,16 +166,17 @@
 @message("store_changes")
 @dataclass(slots=True)
 class StoreChanges(Message):
-    """Changes of the store, as a node that watches it was told them.
+    """Changes of the store, forwarded by a node that watches it.
 
     Attributes
     ----------
     kind_name : str
         Kind of the objects.
     before, revision : int
-        Of the store: the changes are all those after the first, up to the second.
+        Revisions of the store: all changes after the first one and up to the second
+        one are included.
     events : list of list
-        Name, revision, value and whether it was deleted, in order.
+        Name, revision, value and deletion flag of each change, in order.
     """
 
     kind: ClassVar[str]
@@ -182,35 +189,40 @@
 @message("hub_report")
 @dataclass(slots=True)
 class HubReport(Message):
-    """State of one gateway of a large deployment, for the hub of its zone.
+    """State of one gateway of a large deployment, sent to the hub of its zone.
+
+    A hub is the gateway of a zone that aggregates the reports of the others. A duty is
+    a task that only the holder of a lease performs.
 
     Attributes
     ----------
     node : str
-        Its name.
+        Name of the gateway.
     incarnation, sequence : int
-        Its life, and a number that rises with each report.
+        Incarnation of the gateway, and a number that increases with each report.
     version : int
-        Its configuration.
+        Version of its configuration.
     revisions, seen : dict
         By kind of object, as in `GatewayReport`.
     returned_ago_s : float
         As in `GatewayReport`.
     lost : list of str
-        Kinds of objects for which the store does not answer it.
+        Kinds of objects for which the store does not respond to it.
     watches : bool
-        Whether it watches the store for others.
+        Whether it watches the store on behalf of others.
     holds : bool
         Whether it holds the lease of the duties.
     spent : dict
-        By customer: units taken since its start, and units asked for in a second.
+        By customer: units acquired since the start of the gateway, and units
+        requested per second.
     loads : dict
-        By server's life: requests in flight, and prompt tokens that wait. A life is
-        named by its text, so that sums keep the lives of one server apart.
+        By server incarnation: requests in flight, and prompt tokens pending prefill.
+        The text form of the incarnation is the key, so that aggregates keep the
+        incarnations of one server apart.
     duties : list
-        What only duties need, for the hub to pass on: of the `GatewayReport` that it
-        stands for, the sequence, both times of day, runs and demand. Empty where it
-        was told lately.
+        Fields that only duties need, for the hub to forward: the sequence, both
+        times, runs and demand of the `GatewayReport` that this report represents.
+        Empty if they were sent recently.
     """
 
     kind: ClassVar[str]
@@ -232,12 +244,12 @@
 @message("duty_reports")
 @dataclass(slots=True)
 class DutyReports(Message):
-    """What only duties need of the gateways of a zone, passed on by its hub.
+    """Fields that only duties need of the gateways of a zone, forwarded by its hub.
 
     Attributes
     ----------
     reports : list of list
-        By gateway: its name, its life, and what its `HubReport` told for duties.
+        For each gateway: its name, its incarnation and ``duties`` of its `HubReport`.
     """
 
     kind: ClassVar[str]
@@ -247,37 +259,41 @@
 @message("hub_sum")
 @dataclass(slots=True)
 class HubSum(Message):
-    """What gateways that report to one hub have in common, for them and other hubs.
+    """Aggregate of the gateways that report to one hub, for them and for other hubs.
 
     Attributes
     ----------
     hub : str
         Name of the hub.
     incarnation : int
-        Its life; totals start anew with it.
+        Incarnation of the hub; totals restart with it.
     is_region : bool
-        Whether the sums of the other hubs are in it.
+        Whether the aggregates of the other hubs are included.
     clock_s : float
-        The agreed time of day at the hub, in seconds of the epoch.
+        Time on the synchronized clock of the hub, in seconds since the epoch.
     nodes : int
-        Gateways that it counts.
+        Number of gateways included.
     version : int
         Newest configuration among them.
     seen : dict
         By kind of object: revision of the newest change that one of them knows.
     returned_ago_s : float
-        How long ago the last of them found the store again, as in `GatewayReport`.
+        How long ago the store last became reachable again for one of them, as in
+        `GatewayReport`.
     watching : dict
-        By kind of object: gateways that watch it for others and reach the store.
+        By kind of object: gateways that watch it on behalf of others and reach the
+        store.
     holders : list of str
-        Gateways that hold the lease of the duties, as they believe.
+        Gateways that believe to hold the lease of the duties.
     spent : dict
-        By customer: units taken since the hub's start, and asked for in a second.
+        By customer: units acquired since the start of the hub, and units requested
+        per second.
     loads : dict
-        By server's life: requests in flight, and prompt tokens that wait. A life is
-        named by its text, so that sums keep the lives of one server apart.
+        By server incarnation: requests in flight, and prompt tokens pending prefill.
+        The text form of the incarnation is the key, so that aggregates keep the
+        incarnations of one server apart.
     counted : dict
-        By gateway that reports to the hub: sequence of the report that is counted.
+        By gateway that reports to the hub: sequence of the report that is included.
     """
 
     kind: ClassVar[str]
--- a/src/rosemaryknot/values/incarnation.py
+++ b/src/rosemaryknot/values/incarnation.py
@@ -1,8 +1,8 @@
-"""One life of a backend server, which may start again under the id that it had."""
+"""Incarnations of backend servers, which may restart under the same id."""
 
 from dataclasses import dataclass
 
-__all__ = ["ServerIncarnation", "id_of"]
+__all__ = ["ServerIncarnation", "server_id_from_text"]
 
 SEPARATOR = "@"
 DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
@@ -10,15 +10,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerIncarnation:
-    """One life of a backend server.
+    """One incarnation of a backend server.
 
     Attributes
     ----------
     id : str
-        Its id, which the next life may have as well.
+        Id of the server, which the next incarnation may share.
     born_ms : int or None
-        When this life started, in milliseconds of the epoch. Servers of older
-        software tell none; all that is told of them counts for one life.
+        When this incarnation started, in milliseconds since the epoch. Servers with
+        older software do not report it; all their reports count as one incarnation.
 
     Examples
     --------
@@ -33,21 +33,21 @@
     born_ms: int | None = None
 
     def is_newer_than(self, other: "ServerIncarnation") -> bool:
-        """Tell whether this is a later life of the same server.
+        """Return whether this is a later incarnation of the same server.
 
-        A life without a number comes before each one with a number: its server was
-        started again with software that tells one. The other way round it would be
-        a late word, or that of another writer.
+        An incarnation without a start time precedes all that have one: the server was
+        restarted with software that reports it. An entry without a start time that
+        follows one with a start time is late, or comes from another writer.
         """
         if self.born_ms is None:
             return False
         return other.born_ms is None or self.born_ms > other.born_ms
 
     def to_text(self) -> str:
-        """Return the text by which nodes name this life to each other.
+        """Return the text form, which identifies this incarnation in messages.
 
-        The birth stands in base 36, eight characters in place of thirteen: each name of
-        a life is in up to a hundred places of a message.
+        The start time is in base 36, which takes eight characters rather than thirteen:
+        each incarnation occurs up to a hundred times in one message.
 
         Examples
         --------
@@ -56,12 +56,12 @@
         >>> ServerIncarnation("i-1").to_text()
         'i-1@'
         """
-        born = "" if self.born_ms is None else base_36(self.born_ms)
+        born = "" if self.born_ms is None else to_base36(self.born_ms)
         return f"{self.id}{SEPARATOR}{born}"
 
 
-def base_36(number: int) -> str:
-    """Return a number from 0 on in base 36."""
+def to_base36(number: int) -> str:
+    """Return a non-negative number in base 36."""
     digits = ""
     while number >= len(DIGITS):
         number, last = divmod(number, len(DIGITS))
@@ -69,12 +69,12 @@
     return DIGITS[number] + digits
 
 
-def id_of(text: str) -> str:
-    """Return the id of the server whose life a text names.
+def server_id_from_text(text: str) -> str:
+    """Return the server id from the text form of an incarnation.
 
     Examples
     --------
-    >>> id_of("a@b@mip9wxyz")
+    >>> server_id_from_text("a@b@mip9wxyz")
     'a@b'
     """
     return text.rpartition(SEPARATOR)[0]
--- a/src/rosemaryknot/values/leases.py
+++ b/src/rosemaryknot/values/leases.py
@@ -1,35 +1,37 @@
-"""What the object of a lease holds."""
+"""Record of a lease in the object store."""
 
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
 __all__ = ["LeaseRecord"]
 
-# A number that rises by one at each change of holder never gets there.
+# Upper bound for a valid fencing token. A token that increases by one at each change of
+# holder never reaches it.
 MAX_FENCING = 2**53
-# Longer than any lease of ours lasts, ten seconds.
+# Upper bound for a valid duration. Leases of this project last ten seconds.
 MAX_DURATION_S = 60.0
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseRecord:
-    """A lease as the object API holds it.
+    """A lease, as stored through the object API.
 
     Attributes
     ----------
     holder : str
-        Who holds it; empty where the last holder gave it back.
+        Current holder; empty if the last holder released the lease.
     fencing : int
-        Rises at each change of holder.
+        Fencing token, which increases at each change of holder.
     write_id : str
-        Of the write that made this record, by which its writer knows it again.
+        Id of the write that made this record, by which the writer recognizes it.
     duration_s : float
         How long the lease lasts after the write was sent, in seconds.
     leaving : tuple of str
-        Instances that a holder has decided to release. A decision is never taken
-        back, so that an order to release one of them is right at any later time.
+        Instances that a holder has decided to release. A decision is never revoked,
+        so an order to release one of them is valid at any later time.
     notes : dict
-        What the holders of the duty leave to the next one, by name.
+        State that a holder of the duty passes to the next one, by name. A duty is a
+        task that only the holder of a lease performs.
     """
 
     holder: str
@@ -45,7 +47,7 @@
 
     @classmethod
     def from_value(cls, value: Any) -> "LeaseRecord | None":
-        """Return the record of a JSON value, or None where it is none.
+        """Return the record of a JSON value, or None if it is not valid.
 
         Examples
         --------
@@ -66,13 +68,13 @@
             )
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError):
             return None
-        return record if record.is_sound() else None
+        return record if record.is_valid() else None
 
-    def is_sound(self) -> bool:
-        """Tell whether its fields can be those of a lease.
+    def is_valid(self) -> bool:
+        """Return whether the types and ranges of the fields are valid.
 
-        Another writer's record with a number beyond all that can be counted, or a
-        time without end, would keep every node from the lease for good.
+        A record by another writer with an excessive fencing token or an infinite
+        duration would keep every node from acquiring the lease indefinitely.
         """
         return (
             isinstance(self.holder, str)
