--- a/src/rosemaryknot/values/limits.py
+++ b/src/rosemaryknot/values/limits.py
@@ -1,47 +1,48 @@
-"""Messages by which budgets of customers' limits are leased and transferred."""
+"""Messages that lease and transfer budgets of customers' limits."""
 
 from dataclasses import dataclass
 from typing import ClassVar
 
 from rosemaryknot.values.messages import Message, message
 
-__all__ = ["BudgetAsk", "BudgetGrant", "BudgetTransfer", "BudgetTransferred"]
+__all__ = ["BudgetRequest", "BudgetGrant", "BudgetTransfer", "BudgetTransferred"]
 
 
 @message("budget_ask")
 @dataclass(slots=True)
-class BudgetAsk(Message):
-    """An entry asks for budget, renews its lease and gives back what it can spare.
+class BudgetRequest(Message):
+    """Request by an entry for budget; renews its lease and returns unneeded budget.
 
     Sent by the entry to its agent, and by that agent to the owner.
 
     Attributes
     ----------
     customer, service : str
-        What the budget is for.
+        Customer and service that the budget is for.
     entry : str
         Node of the entry.
     incarnation : int
-        Life of the entry; a newer one holds nothing of the older one's lease.
+        Incarnation of the entry; a newer one inherits nothing of an older lease.
     sequence : int
-        Rises with each ask of one life, so that a late ask is recognized.
+        Increases with each request of one incarnation, so that a late request is
+        recognized.
     held_tokens : float
-        Tokens that the entry keeps.
+        Tokens that the entry retains.
     held_slots : int
-        Slots for concurrent requests that it keeps.
+        Slots for concurrent requests that it retains.
     used_slots : int
-        Those of them that requests in flight take up.
+        Retained slots that requests in flight occupy.
     returned_tokens : float
-        Tokens that it gives back; negative where requests used more than charged.
+        Tokens that it returns; negative if requests used more than was charged.
     needed_tokens : float
-        Tokens of the request that waits, 0 where none does.
+        Tokens of the waiting request; 0 if none waits.
     needed_slots : int
-        Slots of the request that waits.
+        Slots of the waiting request.
     wanted_tokens : float
-        Tokens that it expects to spend besides.
+        Further tokens that it expects to use.
     max_wait_s : float
-        How long the request that waits may do so, in seconds; the owner keeps its
-        turn where that is long enough.
+        How long the request may wait, in seconds; if that is long enough, the owner
+        keeps its place in the queue.
     """
 
     kind: ClassVar[str]
@@ -63,28 +64,30 @@
 @message("budget_grant")
 @dataclass(slots=True)
 class BudgetGrant(Message):
-    """The owner's answer to a `BudgetAsk`.
+    """Response of the owner to a `BudgetRequest`.
 
     Attributes
     ----------
     is_owner : bool
-        Whether the sender may grant; else the entry falls back to its fixed share.
+        Whether the sender may grant budget; otherwise the entry falls back to its
+        fixed share.
     tokens : float
         Tokens granted.
     slots : int
         Slots granted.
     lease_s : float
-        How long the lease holds, in seconds from before the ask was sent.
+        How long the lease is valid, in seconds, counted from before the request was
+        sent.
     retry_after_s : float
-        When what was needed and not granted will be there, in seconds; 0 where it
-        was granted. Of a sender that will be the owner soon, the time from when
-        on it grants.
+        When the needed budget will be available, in seconds; 0 if it was granted.
+        From a sender that will soon be the owner, when it starts to grant.
     rate : float
-        Tokens a second of the zone, by which the time for more than that is known.
+        Tokens per second of the zone, from which the time until more tokens are
+        available is computed.
     fallback_share : float
         Share of the whole limit that the entry may use while it has no owner.
     lacks_slots : bool
-        Whether slots are missing: the time named is then a guess.
+        Whether slots are lacking; ``retry_after_s`` is then an estimate.
     """
 
     kind: ClassVar[str]
@@ -101,20 +104,20 @@
 @message("budget_transfer")
 @dataclass(slots=True)
 class BudgetTransfer(Message):
-    """An owner asks the owner in another zone for budget.
+    """Request by an owner for budget of the owner in another availability zone.
 
     Attributes
     ----------
     customer, service : str
-        What the budget is for.
+        Customer and service that the budget is for.
     tokens : float
-        Tokens that are wanted.
+        Tokens requested.
     slots : int
-        Slots that are wanted.
+        Slots requested.
     held_slots : int
-        Slots of this donor that the sender still holds; it has given up the rest.
+        Slots of this donor that the sender still holds; it has released the rest.
     sequence : int
-        Rises with each ask of one sender, over its restarts too.
+        Increases with each request of one sender, also across its restarts.
     """
 
     kind: ClassVar[str]
@@ -129,17 +132,17 @@
 @message("budget_transferred")
 @dataclass(slots=True)
 class BudgetTransferred(Message):
-    """What the donor has already taken out of its own budget.
+    """Budget that the donor has already deducted from its own.
 
     Attributes
     ----------
     tokens : float
-        Tokens given, for good.
+        Tokens transferred permanently.
     slots : int
-        Slots given for a time, besides those that the sender holds.
+        Slots transferred for a time, in addition to those that the receiver holds.
     slots_for_s : float
-        How long the receiver may use all of them, in seconds from before it asked;
-        0 where the donor has not noted the ask.
+        How long the receiver may use all of these slots, in seconds, counted from
+        before it sent the request; 0 if the donor did not record the request.
     """
 
     kind: ClassVar[str]
--- a/src/rosemaryknot/values/messages.py
+++ b/src/rosemaryknot/values/messages.py
@@ -1,6 +1,6 @@
-"""Registry and codec of the typed messages between our own processes.
+"""Registry and codec of the typed messages between the processes of this project.
 
-Each message is a slotted dataclass under a short kind name. Other modules of
+Each message is a slotted dataclass with a short kind name. Other modules of
 `rosemaryknot.values` declare the messages of their subject with `message`.
 """
 
@@ -23,9 +23,9 @@
 ]
 
 KINDS: dict[str, type["Message"]] = {}
-# By class: its fields, and what they must be instances of. Asked of `dataclasses` for
-# each message, they took 3 of 10 us to encode a report of 842 bytes, and 4 of 16 us to
-# decode it (processor time, best of seven times 2,000).
+# Field names and types by message class. They are computed once, because calling
+# `dataclasses.fields` for each message took 3 of 10 us to encode a report of 842 bytes,
+# and 4 of 16 us to decode it (processor time, best of seven runs of 2,000).
 FIELD_TYPES: dict[type["Message"], dict[str, Any]] = {}
 
 MessageType = TypeVar("MessageType", bound="Message")
@@ -36,7 +36,7 @@
 
     Subclasses are slotted dataclasses whose fields msgpack can carry: numbers,
     strings, bytes, lists, maps and None. A field that a later release adds needs
-    a default, so that an older peer may leave it out.
+    a default, since an older peer does not send it.
     """
 
     __slots__ = ()
@@ -51,7 +51,7 @@
     Attributes
     ----------
     name : str
-        The kind that the sender gave.
+        Kind name from the sender.
     """
 
     kind: ClassVar[str] = ""
@@ -59,11 +59,11 @@
 
 
 class MessageError(ValueError):
-    """Bytes that are not a message of ours."""
+    """Raised for bytes that are not a valid message."""
 
 
 def wire_type(annotation: Any) -> Any:
-    """Return what a field's value must be an instance of, as far as can be told.
+    """Return the types allowed for the value of a field, or ``object`` if unknown.
 
     Examples
     --------
@@ -86,7 +86,7 @@
     Parameters
     ----------
     kind : str
-        Name on the wire; never reused for another meaning.
+        Name in encoded messages; never reused for another meaning.
 
     Returns
     -------
@@ -96,7 +96,7 @@
 
     def register(cls: type[MessageType]) -> type[MessageType]:
         if kind in KINDS:
-            raise ValueError(f"message kind {kind!r} is taken")
+            raise ValueError(f"message kind {kind!r} is already registered")
         cls.kind = kind
         KINDS[kind] = cls
         FIELD_TYPES[cls] = {field.name: wire_type(field.type) for field in fields(cls)}
@@ -113,9 +113,9 @@
     value : Message
         The message.
     call : int
-        Number under which a reply is awaited; 0 where none is.
+        Call number for which a reply is awaited; 0 for none.
     reply_to : int
-        Number of the call that this message answers; 0 where it answers none.
+        Number of the call that this message replies to; 0 for none.
 
     Returns
     -------
@@ -127,10 +127,10 @@
 
 
 def check_types(cls: type[Message], known: dict[str, Any]) -> None:
-    """Raise where a field has another type than the message declares.
+    """Raise `TypeError` if a field has another type than the message declares.
 
-    A handler trusts the types and would fail on such a message, which ends the
-    process: one wrong peer would take every node with it.
+    Handlers rely on the types, and an exception in a handler ends the process: without
+    this check, one faulty peer could stop every node.
     """
     types = FIELD_TYPES[cls]
     for name, value in known.items():
@@ -139,10 +139,10 @@
 
 
 def decode_message(payload: bytes) -> tuple[Message, int, int]:
-    """Decode what `encode_message` made.
+    """Decode the output of `encode_message`.
 
     Unknown fields are ignored and an unknown kind gives an `UnknownKind`, so that
-    a newer peer can speak to this release during a rolling upgrade.
+    a newer peer can communicate with this release during a rolling upgrade.
 
     Parameters
     ----------
@@ -154,14 +154,14 @@
     value : Message
         The message.
     call : int
-        Number under which the sender awaits a reply, or 0.
+        Call number for which the sender awaits a reply, or 0.
     reply_to : int
-        Number of the call that it answers, or 0.
+        Number of the call that the message replies to, or 0.
 
     Raises
     ------
     MessageError
-        If the bytes are no message, a field without default is missing, or a
+        If the bytes are not a message, a field without a default is missing, or a
         field has another type than declared.
     """
     try:
--- a/src/rosemaryknot/values/nodes.py
+++ b/src/rosemaryknot/values/nodes.py
@@ -1,4 +1,4 @@
-"""Names of our own nodes and of the backend servers they route to."""
+"""Identities of this project's nodes and of the backend servers they route to."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Address:
-    """An IP number and a port.
+    """An IP address and a port.
 
     Attributes
     ----------
     host : str
-        IP number, never a name.
+        IP address, never a host name.
     port : int
         TCP port.
 
@@ -60,17 +60,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Node:
-    """One life of one of our nodes.
+    """One incarnation of a node of this project.
 
     Attributes
     ----------
     name : str
-        Name from the settings; stays over restarts.
+        Name from the settings; stays the same across restarts.
     zone : str
         Availability zone.
     incarnation : int
-        Rises with each start of the process (milliseconds since the epoch at
-        start); a message of an older incarnation is from a dead process.
+        Increases with each start of the process (milliseconds since the epoch at
+        start). A message of an older incarnation comes from a process that has ended.
     """
 
     name: str
@@ -79,7 +79,7 @@
 
 
 class ServerState(StrEnum):
-    """What is known of a backend server."""
+    """Lifecycle state of a backend server."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -93,25 +93,25 @@
     Attributes
     ----------
     instance : str
-        The platform's name of the instance. A restarted server is a new instance,
-        so the name also tells incarnations apart.
+        Name of the instance at the platform. A restarted server is a new instance,
+        so the name also distinguishes incarnations.
     service : str
-        Service that it serves.
+        Service that it runs.
     zone : str
         Availability zone.
     machine_class : str
-        Machine class, which sets price and speed.
+        Machine class, which determines price and speed.
     reclaimable : bool
-        Whether the cloud may take it back.
+        Whether the cloud may reclaim it.
     address : str
         ``host:port`` of its HTTP interface.
     state : str
         A `ServerState` value.
     price_per_hour : float
-        Current price.
+        Current price per hour.
     deadline_unix_s : float
-        When a leaving server is taken away, as seconds of the epoch; 0 where not
-        known.
+        When a draining server is terminated, in seconds since the epoch; 0 if
+        unknown.
     """
 
     instance: str
--- a/src/rosemaryknot/values/outcomes.py
+++ b/src/rosemaryknot/values/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes a caller can get, each a value with a reason from a closed list."""
+"""Outcomes of requests for callers, with reasons from a closed list."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -12,7 +12,7 @@
     The text of each member is part of the API: callers and dashboards match on it.
     """
 
-    # Bad input: the same request will be refused again.
+    # Invalid input: the same request would be refused again.
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
     BODY_TOO_SLOW = "body_too_slow"
@@ -21,7 +21,7 @@
     UNKNOWN_SERVICE = "unknown_service"
     UNKNOWN_REQUEST = "unknown_request"
     BODY_DIFFERS = "body_differs"
-    # Load and limits: come back after ``retry_after_s``.
+    # Load and limits: retry after ``retry_after_s``.
     OVERLOADED = "overloaded"
     LIMIT_REACHED = "limit_reached"
     DEADLINE_TOO_SHORT = "deadline_too_short"
@@ -44,14 +44,14 @@
 
 @dataclass(slots=True)
 class Answered:
-    """The whole answer of a backend server.
+    """The complete response of a backend server.
 
     Attributes
     ----------
     status : int
-        HTTP status of the backend server's answer.
+        HTTP status of the response.
     headers : list of tuple of (str, str)
-        Headers that are passed on.
+        Headers that are forwarded.
     body : bytes
         The whole body.
     """
@@ -70,9 +70,9 @@
     reason : Reason
         Why it was refused.
     retry_after_s : float
-        When to come back, in seconds; 0 where coming back does not help.
+        Delay before a retry, in seconds; 0 if a retry does not help.
     detail : str
-        A sentence for people. Never holds caller text.
+        Explanation for people. Never contains text from the caller.
     """
 
     reason: Reason
@@ -82,14 +82,14 @@
 
 @dataclass(slots=True)
 class Unknown:
-    """The request may have run; nobody can tell.
+    """It is unknown whether the request ran.
 
     Attributes
     ----------
     reason : Reason
-        Why it cannot be told.
+        Why this is unknown.
     detail : str
-        A sentence for people. Never holds caller text.
+        Explanation for people. Never contains text from the caller.
     """
 
     reason: Reason
@@ -103,7 +103,7 @@
     Attributes
     ----------
     retry_after_s : float
-        When to ask again, in seconds.
+        Delay before the next query, in seconds.
     """
 
     retry_after_s: float = 1.0
--- a/src/rosemaryknot/values/peers.py
+++ b/src/rosemaryknot/values/peers.py
@@ -1,4 +1,4 @@
-"""Messages by which nodes learn of each other, and forward for each other."""
+"""Messages of the membership protocol between nodes, and forwarded messages."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum
@@ -20,7 +20,10 @@
 
 
 class PeerState(IntEnum):
-    """What is said of a node; of two statements alike in age the higher one wins."""
+    """Membership state of a node.
+
+    Of two records with equal incarnation and sequence, the higher state wins.
+    """
 
     LIVE = 0
     SUSPECT = 1
@@ -29,20 +32,20 @@
 
 @dataclass(slots=True)
 class PeerRecord:
-    """One statement about a node.
+    """One record of the membership state of a node.
 
     Attributes
     ----------
     name, zone, incarnation
         See `rosemaryknot.values.nodes.Node`.
     address : str
-        Where it accepts links.
+        Address where the node accepts links.
     sequence : int
-        Rises when the node itself contradicts what is said of it.
+        Increases when the node refutes a record about itself.
     state : int
         A `PeerState` value.
     suspect_since_s : float
-        Since when it is not live, in the local trio time.
+        When the node ceased to be live, in local trio time.
     """
 
     name: str
@@ -55,16 +58,16 @@
 
     @property
     def node(self) -> Node:
-        """The node that the record is of."""
+        """Node that the record describes."""
         return Node(self.name, self.zone, self.incarnation)
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        """Order of statements: the higher one is believed."""
+    def precedence(self) -> tuple[int, int, int]:
+        """Sort key of records about one node; the highest one is valid."""
         return (self.incarnation, self.sequence, self.state)
 
     def to_fields(self, now_s: float) -> list:
-        """Return the record as a message carries it, with ages for times."""
+        """Return the record as a list for a message, with ages in place of times."""
         age_s = 0.0 if self.state == PeerState.LIVE else now_s - self.suspect_since_s
         return [
             self.name,
@@ -78,19 +81,19 @@
 
     @classmethod
     def from_fields(cls, fields: object, now_s: float) -> "PeerRecord | None":
-        """Read what `to_fields` made.
+        """Decode the output of `to_fields`.
 
         Parameters
         ----------
         fields : object
-            What came; a newer peer may append fields.
+            Received value; a newer peer may append fields.
         now_s : float
             Local trio time, in seconds.
 
         Returns
         -------
         record : PeerRecord or None
-            None where the fields are of other types.
+            None if the fields have other types.
         """
         types = (str, str, int, str, int, int, float | int)
         if not isinstance(fields, list) or len(fields) < len(types):
@@ -108,7 +111,7 @@
 @message("peer_records")
 @dataclass(slots=True)
 class PeerRecords(Message):
-    """Statements about nodes.
+    """Membership records of nodes.
 
     Attributes
     ----------
@@ -123,12 +126,12 @@
 @message("peer_digest")
 @dataclass(slots=True)
 class PeerDigest(Message):
-    """Asks for the other end's records where its digest differs.
+    """Request for the records of the peer, if its digest differs.
 
     Attributes
     ----------
     digest : int
-        Digest of all the sender's records.
+        Digest of all records of the sender.
     """
 
     kind: ClassVar[str]
@@ -138,7 +141,7 @@
 @message("peer_probe")
 @dataclass(slots=True)
 class PeerProbe(Message):
-    """Asks a node, through another one, whether it is there."""
+    """Indirect probe: asks a node, through another one, whether it is alive."""
 
     kind: ClassVar[str]
 
@@ -146,7 +149,7 @@
 @message("peer_alive")
 @dataclass(slots=True)
 class PeerAlive(Message):
-    """Answer to `PeerProbe`."""
+    """Response to `PeerProbe`."""
 
     kind: ClassVar[str]
 
@@ -154,7 +157,7 @@
 @message("peer_forward")
 @dataclass(slots=True)
 class PeerForward(Message):
-    """A message that a relay passes on.
+    """A message to be forwarded by a relay.
 
     Attributes
     ----------
@@ -163,13 +166,13 @@
     source : list
         Name, zone and incarnation of the sender.
     path : list of str
-        Nodes that it went through.
+        Nodes that the message passed through.
     payload : bytes
-        The message, encoded.
+        Encoded message.
     timeout_s : float
-        Time left, in seconds.
+        Remaining time, in seconds.
     wants_answer : bool
-        Whether the sender waits for an answer.
+        Whether the sender waits for a response.
     """
 
     kind: ClassVar[str]
@@ -184,16 +187,16 @@
 @message("peer_forwarded")
 @dataclass(slots=True)
 class PeerForwarded(Message):
-    """Answer to `PeerForward`.
+    """Response to `PeerForward`.
 
     Attributes
     ----------
     payload : bytes
-        The target's answer, encoded; empty where there is none.
+        Encoded response of the target; empty if there is none.
     reason : str
-        Why there is none; see `rosemaryknot.connection.links.CallFailed`.
+        Why there is no response; see `rosemaryknot.connection.links.CallFailed`.
     maybe_handled : bool
-        Whether the target may have handled the message all the same.
+        Whether the target may have handled the message despite the failure.
     """
 
     kind: ClassVar[str]
--- a/src/rosemaryknot/values/placement.py
+++ b/src/rosemaryknot/values/placement.py
@@ -1,4 +1,4 @@
-"""Typed inputs and decisions of placement, and the orders that carry them out."""
+"""Inputs and decisions of instance placement, and the orders that execute them."""
 
 import math
 from dataclasses import dataclass, field
@@ -34,25 +34,25 @@
 ]
 
 
-# What is wanted.
+# Targets.
 
 
 @dataclass(slots=True, frozen=True)
 class ZoneTarget:
-    """Instances wanted in one zone.
+    """Target number and kinds of instances in one availability zone.
 
     Attributes
     ----------
     zone : str
         Availability zone.
     count : int
-        Instances wanted.
+        Target number of instances.
     classes : tuple of str
-        Machine classes that may be started; empty allows all.
+        Machine classes that may be started; empty to allow all.
     reclaimable_share : float
-        Largest share of reclaimable instances, 0 to 1.
+        Maximum share of reclaimable instances, 0 to 1.
     price_ceiling_per_hour : float
-        Highest price of one instance.
+        Maximum price per hour of one instance.
     """
 
     zone: str
@@ -64,20 +64,20 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceTarget:
-    """What is wanted of one service.
+    """Target of one service.
 
     Attributes
     ----------
     service : str
         Name of the service.
     is_model : bool
-        Whether its backend servers take orders.
+        Whether its backend servers are model servers, which accept orders.
     checks_fencing : bool
-        Whether they refuse an old fencing number.
+        Whether the servers refuse orders with an outdated fencing token.
     timeout_s : float
-        Bound on one request, in seconds.
+        Timeout of one request, in seconds.
     zones : tuple of ZoneTarget
-        In order of the zone's name.
+        Targets by availability zone, sorted by zone name.
     """
 
     service: str
@@ -87,12 +87,12 @@
     zones: tuple[ZoneTarget, ...]
 
 
-# What is known.
+# Known state.
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class InstanceKind:
-    """What the cloud is asked for.
+    """Kind of instance that can be requested from the cloud.
 
     Attributes
     ----------
@@ -111,18 +111,18 @@
 
 @dataclass(slots=True)
 class KindFacts:
-    """What is known of a kind of instance.
+    """Prices, reclaims and refused starts of a kind of instance.
 
     Attributes
     ----------
     price_per_hour : float
-        Current price.
+        Current price of one instance.
     reclaims_per_hour : float
-        Measured reclaims for each instance and hour; 0 for on-demand ones.
+        Measured reclaims per instance and hour; 0 for on-demand instances.
     refused_until_s : float
-        Until when no start is asked for, in trio time.
+        Time before which no start is requested, in trio time.
     refusals : int
-        Refused starts in a row.
+        Number of consecutive refused starts.
     """
 
     price_per_hour: float
@@ -132,7 +132,7 @@
 
 
 class Phase:
-    """Where an instance stands, as placement sees it."""
+    """Lifecycle phase of an instance, as placement sees it."""
 
     STARTING = "starting"
     LIVE = "live"
@@ -146,13 +146,13 @@
     Attributes
     ----------
     instance : str
-        The platform's name.
+        Name of the instance at the platform.
     kind : InstanceKind
-        What it is.
+        Kind of the instance.
     phase : str
         One of `Phase`.
     is_drained : bool
-        For a leaving one that a holder drained: whether its work has ended.
+        For an instance that a lease holder drained: whether its requests have ended.
     """
 
     instance: str
@@ -163,18 +163,18 @@
 
 @dataclass(slots=True)
 class PlacementInput:
-    """All that a placement policy may know.
+    """Input of a placement policy.
 
     Attributes
     ----------
     target : ServiceTarget
-        What is wanted.
+        Target of the service.
     instances : list of PlacedInstance
-        What there is, in order of name.
+        Instances of the service, sorted by name.
     kinds : dict of InstanceKind to KindFacts
-        Kinds with a known price.
+        Kinds of instances with a known price.
     now_s : float
-        Trio time.
+        Current trio time.
     """
 
     target: ServiceTarget
@@ -183,19 +183,19 @@
     now_s: float = 0.0
 
 
-# What is decided.
+# Decisions.
 
 
 @dataclass(slots=True, frozen=True)
 class Start:
-    """Ask the cloud for an instance.
+    """Request an instance from the cloud.
 
     Attributes
     ----------
     kind : InstanceKind
-        What to ask for.
+        Kind of instance to request.
     reason : str
-        Why, for the log.
+        Reason for the log.
     """
 
     kind: InstanceKind
@@ -204,14 +204,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """Let an instance end its work and get no more.
+    """Let an instance finish its requests and send it no new ones.
 
     Attributes
     ----------
     instance : str
-        The platform's name.
+        Name of the instance at the platform.
     reason : str
-        Why, for the log.
+        Reason for the log.
     """
 
     instance: str
@@ -220,7 +220,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Give a drained instance back to the cloud; fields as of `Drain`."""
+    """Return a drained instance to the cloud; fields as in `Drain`."""
 
     instance: str
     reason: str
@@ -239,10 +239,10 @@
     Attributes
     ----------
     order : str
-        ``load_model``, ``unload_model``, ``set_role``, ``drain`` or ``fence``,
-        which does nothing but show the fencing number.
+        ``load_model``, ``unload_model``, ``set_role``, ``drain`` or ``fence``. The
+        last one only makes the server record the fencing token.
     arguments : dict
-        Its other fields.
+        Other fields of the order.
     """
 
     order: str
@@ -251,12 +251,12 @@
 
 @dataclass(slots=True)
 class OrderDone:
-    """The order was carried out.
+    """The order was executed.
 
     Attributes
     ----------
     server : BackendServer or None
-        The instance that an order to the cloud was about.
+        Instance that an order to the cloud concerned; None for other orders.
     """
 
     server: BackendServer | None = None
@@ -264,14 +264,14 @@
 
 @dataclass(slots=True)
 class OrderRefused:
-    """The order was certainly not carried out.
+    """The order was definitely not executed.
 
     Attributes
     ----------
     reason : str
-        Why.
+        Why it was refused.
     fencing : int
-        Highest number that the server has seen, where it refused an older one.
+        Highest fencing token that the server has seen, if it refused a lower one.
     """
 
     reason: str
@@ -280,12 +280,12 @@
 
 @dataclass(slots=True)
 class OrderFailed:
-    """Nobody knows whether the order was, or will be, carried out.
+    """It is unknown whether the order was, or will be, executed.
 
     Attributes
     ----------
     reason : str
-        What happened to the call.
+        Cause of the failure.
     """
 
     reason: str
@@ -293,14 +293,14 @@
 
 @dataclass(slots=True)
 class OrdersRead:
-    """What a backend server says is in force.
+    """Orders that a backend server reports as active.
 
     Attributes
     ----------
     fencing : int
-        Highest fencing number that it has seen.
+        Highest fencing token that it has seen.
     models : tuple of str
-        Loaded models; empty where any model is accepted.
+        Loaded models; empty if any model is accepted.
     """
 
     fencing: int
@@ -308,25 +308,25 @@
 
 
 class OrderClient(Protocol):
-    """Calls to backend servers that placement makes."""
+    """Client for the calls that placement makes to backend servers."""
 
     async def order(
         self, server: BackendServer, order: ServerOrder, fencing: int
     ) -> OrderDone | OrderRefused | OrderFailed:
-        """Give one order."""
+        """Send one order."""
 
     async def read_orders(self, server: BackendServer) -> OrdersRead | None:
-        """Return what is in force; None without an answer."""
+        """Return the active orders, or None if there is no response."""
 
     async def requests(self, server: BackendServer) -> int | None:
-        """Return how many requests the server has; None without an answer."""
+        """Return how many requests the server has, or None if there is no response."""
 
 
 class CloudApi(Protocol):
-    """The cloud API, as `connection.platform.PlatformClient` fills it."""
+    """The cloud API, implemented by `connection.platform.PlatformClient`."""
 
     async def instances(self) -> list[BackendServer] | PlatformFailed:
-        """Return the instance list, which lags."""
+        """Return the instance list, which may be out of date."""
 
     async def instance(self, name: str) -> BackendServer | Missing | PlatformFailed:
         """Return the authoritative state of one instance."""
@@ -337,9 +337,9 @@
     async def start_instance(
         self, service: str, zone: str, machine_class: str, reclaimable: bool
     ) -> BackendServer | StartRefused | PlatformFailed:
-        """Ask for an instance."""
+        """Request an instance."""
 
     async def release_instance(
         self, name: str
     ) -> BackendServer | Missing | PlatformFailed:
-        """Give an instance back."""
+        """Return an instance to the cloud."""
--- a/src/rosemaryknot/values/platform.py
+++ b/src/rosemaryknot/values/platform.py
@@ -1,7 +1,7 @@
-"""What calls of the platform's APIs return, and what others may ask of a store.
+"""Results of calls to the platform's APIs, and interfaces of its object store.
 
-Every outcome is a value. A failed write says whether it may have taken effect all
-the same, since answers get lost after the change.
+Every outcome is a value. A failed write states whether it may have taken effect, since
+a response can be lost after the change.
 """
 
 from collections.abc import AsyncIterator
@@ -34,12 +34,12 @@
 
 @dataclass(slots=True)
 class StoredObject:
-    """An object as the store holds it.
+    """An object of the store.
 
     Attributes
     ----------
     version : int
-        Rises with each write of any object of its kind.
+        Increases with each write of any object of its kind.
     value : object
         Any JSON value.
     """
@@ -50,12 +50,12 @@
 
 @dataclass(slots=True)
 class Missing:
-    """There is no object or instance of that name."""
+    """There is no object or instance with that name."""
 
 
 @dataclass(slots=True)
 class PlatformFailed:
-    """A call without a usable answer.
+    """A call without a usable response.
 
     Attributes
     ----------
@@ -64,7 +64,7 @@
         ``status <n>``.
     maybe_done : bool
         For a write, whether it may have taken effect, now or later. False only
-        where nothing can have been sent, or the platform says it did nothing.
+        if nothing can have been sent, or the platform states that it did nothing.
     """
 
     reason: str
@@ -78,7 +78,7 @@
     Attributes
     ----------
     version : int
-        The object's new version.
+        New version of the object.
     """
 
     version: int
@@ -86,12 +86,12 @@
 
 @dataclass(slots=True)
 class Conflict:
-    """A conditional write did not take effect: its condition does not hold.
+    """A conditional write did not take effect because its condition failed.
 
     Attributes
     ----------
     version : int
-        The object's current version; 0 where there is no such object.
+        Current version of the object; 0 if there is no such object.
     """
 
     version: int
@@ -99,18 +99,18 @@
 
 @dataclass(slots=True)
 class ObjectChanged:
-    """One line of a watch.
+    """One event of a watch.
 
     Attributes
     ----------
     name : str
         Name of the object.
     version : int
-        Its new version, which rises over the whole kind.
+        New version of the object, which increases over the whole kind.
     value : object
-        Its new value; None where it was deleted.
+        New value; None if it was deleted.
     deleted : bool
-        Whether it was deleted.
+        Whether the object was deleted.
     """
 
     name: str
@@ -126,9 +126,9 @@
     Attributes
     ----------
     version : int
-        Version of the kind: a watch since it misses nothing.
+        Version of the kind; a watch that starts from it misses no change.
     objects : dict of str to StoredObject
-        By name.
+        Objects by name.
     """
 
     version: int
@@ -137,14 +137,14 @@
 
 @dataclass(slots=True)
 class Notice:
-    """The cloud will take an instance back.
+    """Notice that the cloud will reclaim an instance.
 
     Attributes
     ----------
     instance : str
-        The platform's name of the instance.
+        Name of the instance at the platform.
     deadline_unix_s : float
-        When it is taken, as seconds of the epoch.
+        When it is reclaimed, in seconds since the epoch.
     """
 
     instance: str
@@ -153,12 +153,12 @@
 
 @dataclass(slots=True)
 class StartRefused:
-    """The cloud has no such instance to give now.
+    """The cloud has no capacity for such an instance now.
 
     Attributes
     ----------
     reason : str
-        What the cloud said.
+        Reason given by the cloud.
     """
 
     reason: str
@@ -173,7 +173,7 @@
     zone, machine_class, reclaimable
         See `rosemaryknot.values.nodes.BackendServer`.
     price_per_hour : float
-        Price of one instance.
+        Price per hour of one instance.
     """
 
     zone: str
@@ -185,13 +185,13 @@
 class ObjectWatch(Protocol):
     """Changes of one kind of object, in order.
 
-    The iteration ends by itself when the connection ends, or says nothing for
-    longer than its idle bound. The caller then lists again over a new connection.
+    The iteration ends when the connection ends, or is silent for longer than its
+    idle timeout. The user of the watch then lists again over a new connection.
 
     Attributes
     ----------
     ended : str
-        Why it ended; empty while it lasts.
+        Why the watch ended; empty while it is active.
     """
 
     ended: str
@@ -201,7 +201,7 @@
 
 
 class NoticeWatch(Protocol):
-    """Reclaim notices; see `ObjectWatch` for its end."""
+    """Reclaim notices; ends as `ObjectWatch` does."""
 
     ended: str
 
@@ -210,7 +210,7 @@
 
 
 class ObjectStore(Protocol):
-    """The platform's object API, as `connection.platform.PlatformClient` fills it."""
+    """Object API of the platform; see `connection.platform.PlatformClient`."""
 
     async def read(
         self, kind: str, name: str
@@ -223,32 +223,32 @@
     async def create(
         self, kind: str, name: str, value: Any
     ) -> Written | Conflict | PlatformFailed:
-        """Write an object that must not exist yet."""
+        """Create an object that must not exist yet."""
 
     async def update(
         self, kind: str, name: str, value: Any, version: int
     ) -> Written | Conflict | PlatformFailed:
-        """Write an object that must still have the version."""
+        """Update an object if it still has the version."""
 
     async def delete(
         self, kind: str, name: str, version: int
     ) -> Written | Conflict | PlatformFailed:
-        """Delete an object that must still have the version."""
+        """Delete an object if it still has the version."""
 
     def watch(
         self, kind: str, since: int | None = None
     ) -> AbstractAsyncContextManager[ObjectWatch]:
-        """Follow the changes of a kind; without ``since`` starts with a list."""
+        """Watch the changes of a kind; without ``since`` start with a list."""
 
 
 class InstanceSource(Protocol):
-    """The platform's instance list and reclaim notices."""
+    """Instance list and reclaim notices of the platform."""
 
     async def instances(self) -> list[BackendServer] | PlatformFailed:
-        """Return the instance list, which lags."""
+        """Return the instance list, which may be out of date."""
 
     async def instance(self, name: str) -> BackendServer | Missing | PlatformFailed:
         """Return the authoritative state of one instance."""
 
     def watch_notices(self) -> AbstractAsyncContextManager[NoticeWatch]:
-        """Follow reclaim notices; starts with those that are open."""
+        """Watch reclaim notices, starting with those that are pending."""
--- a/src/rosemaryknot/values/requests.py
+++ b/src/rosemaryknot/values/requests.py
@@ -1,4 +1,4 @@
-"""Requests as admission passes them on, and what sending one to a server gave."""
+"""Admitted requests, and the results of sending one to a backend server."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True)
 class PlainRequest:
-    """A request to a plain service, read whole.
+    """A request to a plain service, with its whole body.
 
     Attributes
     ----------
     request_id : str
-        Our id of this HTTP request; stands on its log lines and its answer.
+        Generated id of this HTTP request, included in its log lines and its response.
     customer : str
         Customer that sent it.
     service : str
@@ -22,21 +22,21 @@
     method : str
         HTTP method.
     path : str
-        Path at the service, with the query string.
+        Path at the service, including the query string.
     headers : list of tuple of (str, str)
-        Headers that are passed on.
+        Headers that are forwarded.
     body : bytes
         The whole body.
     key : str
-        Idempotency key of the customer; empty where the request may be repeated.
+        Idempotency key of the customer; empty if the request may be retried.
     attempt : int
-        Attempt that the caller declared, from 1; 0 where none was declared.
+        Attempt number declared by the caller, from 1; 0 if it declared none.
     body_digest : bytes
-        Digest of method, path and body, which tells a reused key from a repeat.
+        Digest of method, path and body, which distinguishes a reused key from a retry.
     arrived_s : float
         When it arrived, in trio time.
     deadline_s : float
-        When the caller gives it up, in trio time.
+        When the caller stops waiting, in trio time.
     """
 
     request_id: str
@@ -76,7 +76,7 @@
     Attributes
     ----------
     request_id : str
-        Our id of the request, under which it can be picked up.
+        Generated id of the request, under which its response can be fetched later.
     customer : str
         Customer that sent it.
     service : str
@@ -84,19 +84,19 @@
     messages : list of dict
         The conversation.
     max_tokens : int
-        Bound on the answer's tokens.
+        Maximum number of tokens of the response.
     stream : bool
-        Whether the caller wants tokens as they come.
+        Whether the caller wants the tokens streamed.
     priority : int
         Engine priority; lower runs first.
     arrived_s : float
         When it arrived, in trio time.
     deadline_s : float
-        When the caller gives it up, in trio time.
+        When the caller stops waiting, in trio time.
     body : dict
-        The caller's body.
+        Body of the caller's request.
     is_async : bool
-        Whether the caller only waits until it is accepted.
+        Whether the caller waits only until the request is accepted.
     """
 
     request_id: str
--- a/src/rosemaryknot/values/servers.py
+++ b/src/rosemaryknot/values/servers.py
@@ -1,4 +1,4 @@
-"""Messages that carry what is known of backend servers between our processes."""
+"""Messages about backend servers between the processes of this project."""
 
 from dataclasses import asdict, dataclass, field, fields
 from typing import Any, ClassVar
@@ -19,12 +19,12 @@
     Attributes
     ----------
     servers : list of dict
-        Each made by `server_to_dict`.
+        Outputs of `server_to_dict`.
     full : bool
         Whether these are all that the sender knows.
     seen_ages_s : list of float
-        How long ago the platform's list last named each server, in seconds; where
-        empty, each was named now.
+        How long ago the platform last listed each server, in seconds; if empty, all
+        were listed now.
     listed_age_s : float
         How long ago the newest list that the sender knows was read, in seconds.
     """
@@ -39,18 +39,18 @@
 @message("leaving_mark")
 @dataclass(slots=True)
 class LeavingMark(Message):
-    """An instance is leaving; never taken back.
+    """Mark of a draining instance, which is never revoked.
 
     Attributes
     ----------
     instance : str
-        The platform's name of the instance.
+        Name of the instance at the platform.
     deadline_unix_s : float
-        When it is taken away, as seconds of the epoch; 0 where not known.
+        When it is terminated, in seconds since the epoch; 0 if unknown.
     source : str
-        Who found out: ``notice``, ``list``, ``peer`` or ``server``.
+        Source of the mark: ``notice``, ``list``, ``peer`` or ``server``.
     age_s : float
-        How long ago the platform or the server last spoke of it, in seconds.
+        How long ago the platform or the server last reported it, in seconds.
     """
 
     kind: ClassVar[str]
@@ -61,7 +61,7 @@
 
 
 def server_to_dict(server: BackendServer) -> dict[str, Any]:
-    """Return the fields of a server as JSON and msgpack carry them.
+    """Return the fields of a server as values for JSON and msgpack.
 
     Examples
     --------
@@ -73,11 +73,11 @@
 
 
 def server_from_dict(data: dict[str, Any]) -> BackendServer:
-    """Return the server of a dict; unknown fields are ignored.
+    """Return the server from its dict; unknown fields are ignored.
 
     Raises
     ------
     TypeError
-        If a field without default is missing.
+        If a field without a default is missing.
     """
     return BackendServer(**{k: v for k, v in data.items() if k in SERVER_FIELDS})
--- a/src/rosemaryknot/values/standby.py
+++ b/src/rosemaryknot/values/standby.py
@@ -1,7 +1,7 @@
 """Messages by which accepted model requests survive the loss of their entry.
 
-The relaying entry copies a request to a standby through its agent, then sends the
-emitted text in batches. The same messages hand a request over and find it again.
+The relaying entry replicates a request to a standby through its agent, then sends the
+emitted text in batches. The same messages hand a request over and locate it later.
 """
 
 from dataclasses import dataclass, field
@@ -25,11 +25,11 @@
     "StandbyProbe",
     "StandbyProbed",
     "StandbyRead",
-    "StandbyTaken",
+    "StandbyAccepted",
     "StandbyText",
     "StandbyUpdate",
-    "are_tokens",
-    "read_inner",
+    "is_token_list",
+    "decode_nested",
 ]
 
 InnerType = TypeVar("InnerType", bound=Message)
@@ -38,36 +38,36 @@
 @message("standby_copy")
 @dataclass(slots=True)
 class StandbyCopy(Message):
-    """An accepted request: entry to its agent, and on to the standby's agent.
+    """An accepted request, sent by the entry to its agent and by that to the standby.
 
-    Answered by a `StandbyTaken`.
+    Answered by a `StandbyAccepted`.
 
     Attributes
     ----------
     request, customer, service, lineage : str
         See `rosemaryknot.values.requests.ModelRequest`.
     body : bytes
-        The caller's body as JSON.
+        JSON body of the caller's request.
     max_tokens, priority : int
         See `rosemaryknot.values.requests.ModelRequest`.
     left_s : float
-        Time to the deadline, in seconds.
+        Time until the deadline, in seconds.
     tokens : list of bytes
-        Text emitted so far, each token as the inside of a JSON string.
+        Text emitted so far, each token encoded as the content of a JSON string.
     server : str
-        Instance that was at work on it last; empty where none was.
+        Instance that ran it last; empty for none.
     relay : str
-        Node that relays it.
+        Node that relays the request.
     incarnation : int
         Incarnation of the entry that relays it.
     address : str
-        Where that entry accepts callers; empty where not known.
+        Address where that entry accepts callers; empty if unknown.
     take_over : bool
-        Whether the standby is to go on with it at once.
+        Whether the standby is to continue the request immediately.
     preferred : str
-        Node to ask first; empty for none.
+        Node to try first; empty for none.
     avoided : str
-        Node that did not answer lately; empty for none.
+        Node that recently did not respond; empty for none.
     """
 
     kind: ClassVar[str]
@@ -91,13 +91,13 @@
 
 @message("standby_taken")
 @dataclass(slots=True)
-class StandbyTaken(Message):
-    """Tells who holds a copy now.
+class StandbyAccepted(Message):
+    """Response to a `StandbyCopy`.
 
     Attributes
     ----------
     node : str
-        The standby; empty where nobody took it.
+        Node that now holds the replica; empty if none accepted it.
     """
 
     kind: ClassVar[str]
@@ -107,20 +107,20 @@
 @message("standby_update")
 @dataclass(slots=True)
 class StandbyUpdate(Message):
-    """What is new of one request; travels within a `StandbyBatch`.
+    """New state of one request, sent within a `StandbyBatch`.
 
     Attributes
     ----------
     customer, request : str
-        Whose, and which.
+        Customer, and id of the request.
     offset : int
-        Position of the first token.
+        Position of the first token of ``tokens``.
     tokens : list of bytes
         Text emitted since the last update.
     outcome, reason, detail : str
-        How it ended; empty while it runs.
+        How the request ended; empty while it runs.
     server : str
-        Instance that is at work on it; empty for none.
+        Instance that runs it; empty for none.
     """
 
     kind: ClassVar[str]
@@ -137,14 +137,14 @@
 @message("standby_batch")
 @dataclass(slots=True)
 class StandbyBatch(Message):
-    """Text emitted since the last batch; also shows that the entry is there.
+    """Text emitted since the last batch; also a heartbeat of the entry.
 
     Answered by a `StandbyAck`.
 
     Attributes
     ----------
     standby : str
-        Node that holds the copies.
+        Node that holds the replicas.
     relay : str
         Node of the sender.
     incarnation : int
@@ -163,14 +163,14 @@
 @message("standby_ack")
 @dataclass(slots=True)
 class StandbyAck(Message):
-    """Answer to a batch.
+    """Response to a `StandbyBatch`.
 
     Attributes
     ----------
     missing : list of [str, str]
-        Customer and id of the copies that the standby does not hold.
+        Customer and id of the requests of which the standby holds no replica.
     is_reached : bool
-        Whether the standby answered; False where only our own agent did.
+        Whether the standby responded; False if only the local agent did.
     """
 
     kind: ClassVar[str]
@@ -181,7 +181,7 @@
 @message("standby_probe")
 @dataclass(slots=True)
 class StandbyProbe(Message):
-    """Asks a relaying node's agent whether an entry still lives.
+    """Request to the agent of a relaying node whether an entry is still alive.
 
     Attributes
     ----------
@@ -196,12 +196,12 @@
 @message("standby_probed")
 @dataclass(slots=True)
 class StandbyProbed(Message):
-    """Answer to a probe.
+    """Response to a `StandbyProbe`.
 
     Attributes
     ----------
     is_alive : bool
-        Whether the entry is connected to its agent and answers.
+        Whether the entry is connected to its agent and responds.
     """
 
     kind: ClassVar[str]
@@ -211,12 +211,12 @@
 @message("standby_adopt")
 @dataclass(slots=True)
 class AdoptGeneration(Message):
-    """Asks an entry to go on with a request that another one relayed.
+    """Request to an entry to continue a request that another entry relayed.
 
     Attributes
     ----------
     copy : bytes
-        The encoded `StandbyCopy`, with the text as far as it is known.
+        Encoded `StandbyCopy`, with the text that is known.
     """
 
     kind: ClassVar[str]
@@ -226,12 +226,12 @@
 @message("standby_adopted")
 @dataclass(slots=True)
 class GenerationAdopted(Message):
-    """Answer of the entry.
+    """Response to an `AdoptGeneration`.
 
     Attributes
     ----------
     accepted : bool
-        Whether it goes on with the request, or did already.
+        Whether the entry continues the request, or already did.
     """
 
     kind: ClassVar[str]
@@ -241,7 +241,7 @@
 @message("standby_find")
 @dataclass(slots=True)
 class StandbyFind(Message):
-    """Asks where a customer's request is; answered by a `StandbyFound`."""
+    """Request for the location of a request; answered by a `StandbyFound`."""
 
     kind: ClassVar[str]
     customer: str
@@ -251,18 +251,18 @@
 @message("standby_found")
 @dataclass(slots=True)
 class StandbyFound(Message):
-    """Where a request is.
+    """Location of a request.
 
     Attributes
     ----------
     node : str
-        Node that holds it; empty where it was not found.
+        Node that holds it; empty if it was not found.
     is_copy : bool
-        Whether the node holds no more than a copy that nobody works on.
+        Whether the node holds only a replica of a request that no entry runs.
     service : str
-        Service that it is for.
+        Service that the request is for.
     unreached : int
-        Nodes that could not be asked.
+        Number of nodes that could not be queried.
     """
 
     kind: ClassVar[str]
@@ -275,18 +275,18 @@
 @message("standby_read")
 @dataclass(slots=True)
 class StandbyRead(Message):
-    """Asks for the text of a request from an offset; answered by a `StandbyText`.
+    """Request for the text of a request from an offset; answered by `StandbyText`.
 
     Attributes
     ----------
     node : str
-        Node that holds it.
+        Node that holds the request.
     customer, request : str
-        Whose, and which.
+        Customer, and id of the request.
     offset : int
-        First token that is wanted.
+        Position of the first token to return.
     wait_s : float
-        How long to wait for one, in seconds.
+        How long to wait for a token, in seconds.
     """
 
     kind: ClassVar[str]
@@ -305,15 +305,15 @@
     Attributes
     ----------
     is_found : bool
-        Whether the node works on it or holds its whole answer.
+        Whether the node runs the request or holds its complete response.
     lineage : str
         Lineage of the text.
     tokens : list of bytes
-        Tokens from the wanted offset, bounded.
+        Tokens from the requested offset, up to a maximum size.
     total : int
-        Tokens that there are.
+        Total number of tokens so far.
     outcome, reason, detail : str
-        How it ended; empty while it runs.
+        How the request ended; empty while it runs.
     """
 
     kind: ClassVar[str]
@@ -326,25 +326,25 @@
     detail: str = ""
 
 
-def are_tokens(value: list[Any]) -> bool:
-    """Tell whether a list from the wire holds tokens only."""
+def is_token_list(value: list[Any]) -> bool:
+    """Return whether a decoded list holds only tokens."""
     return all(isinstance(token, bytes) for token in value)
 
 
-def read_inner(payload: Any, wanted: type[InnerType]) -> InnerType | None:
-    """Return the message that travelled within another one.
+def decode_nested(payload: Any, wanted: type[InnerType]) -> InnerType | None:
+    """Decode a message that was sent within another one.
 
     Parameters
     ----------
     payload : bytes
-        Made by `rosemaryknot.values.messages.encode_message`.
+        Output of `rosemaryknot.values.messages.encode_message`.
     wanted : type
         `StandbyCopy` or `StandbyUpdate`.
 
     Returns
     -------
     value : Message or None
-        None where the bytes are no such message.
+        None if the bytes are not such a message.
     """
     if not isinstance(payload, bytes):
         return None
@@ -352,6 +352,6 @@
         value, _, _ = decode_message(payload)
     except MessageError:
         return None
-    if not isinstance(value, wanted) or not are_tokens(value.tokens):
+    if not isinstance(value, wanted) or not is_token_list(value.tokens):
         return None
     return value
--- a/src/rosemaryknot/values/store_changes.py
+++ b/src/rosemaryknot/values/store_changes.py
@@ -1,11 +1,11 @@
-"""Changes of a kind of object, as a store that is asked again and again tells them."""
+"""Changes of a kind of object, as a store returns them to repeated queries."""
 
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
 from rosemaryknot.values.platform import Listed, ObjectChanged, PlatformFailed
 
-__all__ = ["ChangeSource", "Changes", "HistoryGone"]
+__all__ = ["ChangeSource", "Changes", "HistoryExpired"]
 
 
 @dataclass(slots=True)
@@ -15,9 +15,9 @@
     Attributes
     ----------
     revision : int
-        Up to which changes are known now.
+        Revision up to which changes are included.
     events : list of ObjectChanged
-        In order; empty where the wait was over.
+        Changes in order; empty if there were none until the wait timed out.
     """
 
     revision: int
@@ -25,20 +25,20 @@
 
 
 @dataclass(slots=True)
-class HistoryGone:
-    """The store has forgotten the changes since that revision."""
+class HistoryExpired:
+    """The store no longer has the changes since that revision."""
 
 
 class ChangeSource(Protocol):
-    """A store whose kinds can be listed and then followed.
+    """A store whose kinds of objects can be listed and then watched.
 
     Attributes
     ----------
-    returned_s : float
-        When it was last there again after a call that had failed, in trio time.
+    reconnected_s : float
+        When the store last became reachable again after a failed call, in trio time.
     """
 
-    returned_s: float
+    reconnected_s: float
 
     async def list_objects(self, kind: str) -> Listed | PlatformFailed:
         """Read all objects of a kind."""
@@ -48,5 +48,5 @@
 
     async def changes(
         self, kind: str, since: int, wait_s: float
-    ) -> Changes | HistoryGone | PlatformFailed:
+    ) -> Changes | HistoryExpired | PlatformFailed:
         """Wait for changes of a kind."""
--- a/src/rosemaryknot/version/document.py
+++ b/src/rosemaryknot/version/document.py
@@ -1,7 +1,7 @@
-"""Check of a configuration document: its form by JSON schema, then its references.
+"""Validation of configuration documents: JSON schema first, then references.
 
-Only a new document is checked. One that is in force is taken as it is, since a newer
-release may have accepted what this one does not know yet.
+Only new documents are validated. The current version is used as it is, since a newer
+release may have accepted fields that this one does not know yet.
 """
 
 import json
@@ -16,12 +16,12 @@
 __all__ = ["MAX_DOCUMENT_BYTES", "Problem", "document_problems", "pointer"]
 
 MAX_DOCUMENT_BYTES = 400_000
-"""The stored object also holds the history and must stay under a megabyte."""
+"""Limit on the document; the stored object with its history must fit in a megabyte."""
 
 MAX_NUMBER = 1e12
-"""Far from what a message codec or a float cannot carry."""
+"""Limit on numbers, well within what message codecs and floats represent exactly."""
 
-# Python's `$` also matches before a last line break, `\Z` does not.
+# Python's `$` also matches before a trailing line break, `\Z` does not.
 NAME = {"type": "string", "pattern": r"^[a-z0-9][a-z0-9_-]{0,62}\Z"}
 COUNT = {"type": "integer", "minimum": 0, "maximum": MAX_NUMBER}
 POSITIVE = {"type": "number", "exclusiveMinimum": 0, "maximum": MAX_NUMBER}
@@ -32,8 +32,8 @@
 PATH = {"type": "string", "pattern": r"^/[!-~]*\Z", "not": {"pattern": "[?#%]"}}
 
 
-def record(required: Sequence[str] = (), **properties: Any) -> dict[str, Any]:
-    """Return the schema of an object with just these keys."""
+def object_schema(required: Sequence[str] = (), **properties: Any) -> dict[str, Any]:
+    """Return the schema of an object that has these keys and no others."""
     return {
         "type": "object",
         "properties": properties,
@@ -42,24 +42,24 @@
     }
 
 
-def table(of: dict[str, Any]) -> dict[str, Any]:
-    """Return the schema of an object that maps names to values of one schema."""
-    return {"type": "object", "propertyNames": NAME, "additionalProperties": of}
+def mapping_schema(values: dict[str, Any]) -> dict[str, Any]:
+    """Return the schema of an object that maps names to values with one schema."""
+    return {"type": "object", "propertyNames": NAME, "additionalProperties": values}
 
 
-MODEL = record(
+MODEL_SCHEMA = object_schema(
     ["kind"],
     kind={"const": "model"},
     step_time_ms=POSITIVE,
     max_tokens={**COUNT, "minimum": 1},
     standby_min_tokens=COUNT,
     timeout_s=POSITIVE,
-    latency=record(first_token_ms=POSITIVE, between_tokens_ms=POSITIVE),
+    latency=object_schema(first_token_ms=POSITIVE, between_tokens_ms=POSITIVE),
     checks_fencing=FLAG,
     moves_kv=FLAG,
     route_policy=NAME,
 )
-PLAIN = record(
+PLAIN_SCHEMA = object_schema(
     ["kind"],
     kind={"const": "plain"},
     timeout_s=POSITIVE,
@@ -67,7 +67,7 @@
     route_policy=NAME,
     idempotent={
         "type": "array",
-        "items": record(
+        "items": object_schema(
             ["method", "path"],
             method={
                 "enum": ["GET", "HEAD", "OPTIONS", "PUT", "POST", "DELETE", "PATCH"]
@@ -75,31 +75,31 @@
             path=PATH,
         ),
     },
-    at_most_once=record(
+    at_most_once=object_schema(
         form={"enum": ["shards", "objects"]}, answer_horizon_s=POSITIVE
     ),
 )
-SERVICE = {
+SERVICE_SCHEMA = {
     "type": "object",
     "required": ["kind"],
     "properties": {"kind": {"enum": ["model", "plain"]}},
     "allOf": [
-        {"if": {"properties": {"kind": {"const": "model"}}}, "then": MODEL},
-        {"if": {"properties": {"kind": {"const": "plain"}}}, "then": PLAIN},
+        {"if": {"properties": {"kind": {"const": "model"}}}, "then": MODEL_SCHEMA},
+        {"if": {"properties": {"kind": {"const": "plain"}}}, "then": PLAIN_SCHEMA},
     ],
 }
-PLACEMENT = record(
+PLACEMENT_SCHEMA = object_schema(
     ["count"],
     count=COUNT,
     classes={"type": "array", "items": NAME, "uniqueItems": True},
     reclaimable_share=SHARE,
     price_ceiling_per_hour=POSITIVE,
 )
-LIMIT = record(
+LIMIT_SCHEMA = object_schema(
     tokens_per_minute={"type": "number", "minimum": 0, "maximum": MAX_NUMBER},
     concurrent_requests=COUNT,
 )
-KEY = record(
+KEY_SCHEMA = object_schema(
     ["salt", "sha256"],
     salt=HEX,
     sha256=DIGEST,
@@ -107,17 +107,17 @@
     operator=NAME,
     role={"enum": ["viewer", "editor"]},
 )
-SCHEMA = record(
-    services=table(SERVICE),
-    placements=table(table(PLACEMENT)),
-    customers=table(record(limits=table(LIMIT))),
-    keys=table(KEY),
-    rules=record(max_capacity_change_share=SHARE),
+SCHEMA = object_schema(
+    services=mapping_schema(SERVICE_SCHEMA),
+    placements=mapping_schema(mapping_schema(PLACEMENT_SCHEMA)),
+    customers=mapping_schema(object_schema(limits=mapping_schema(LIMIT_SCHEMA))),
+    keys=mapping_schema(KEY_SCHEMA),
+    rules=object_schema(max_capacity_change_share=SHARE),
 )
 
 
 def is_finite_number(checker: Any, value: Any) -> bool:
-    """Tell whether a value is a number; JSON as Python reads it also has NaN."""
+    """Return whether a value is a finite number; Python's JSON parser accepts NaN."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     return is_number and (isinstance(value, int) or math.isfinite(value))
 
@@ -128,21 +128,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """One thing that is wrong with a document or a patch.
+    """Error in a document or a patch.
 
     Attributes
     ----------
     path : str
-        JSON Pointer of the place.
+        JSON Pointer to the invalid value.
     text : str
-        What is wrong there, for people.
+        Description of the error for operators.
     """
 
     path: str
     text: str
 
 
-def pointer(parts: Sequence[str | int]) -> str:
+def pointer(segments: Sequence[str | int]) -> str:
     """Return the JSON Pointer of a path.
 
     Examples
@@ -150,28 +150,28 @@
     >>> pointer(["services", "a/b", 0])
     '/services/a~1b/0'
     """
-    escaped = (str(part).replace("~", "~0").replace("/", "~1") for part in parts)
+    escaped = (str(part).replace("~", "~0").replace("/", "~1") for part in segments)
     return "".join(f"/{part}" for part in escaped)
 
 
-def problem_of(error: ValidationError) -> Problem:
-    """Return the problem that a schema error tells."""
+def problem_from_error(error: ValidationError) -> Problem:
+    """Convert a schema validation error."""
     place = pointer(list(error.absolute_path))
     if error.validator == "additionalProperties":
-        known = error.schema.get("properties", {})
-        unknown = sorted(set(error.instance) - set(known))
+        allowed = error.schema.get("properties", {})
+        unknown = sorted(set(error.instance) - set(allowed))
         return Problem(place, f"unknown key {', '.join(unknown)}")
     return Problem(place, error.message)
 
 
-def form_problems(document: Any) -> list[Problem]:
-    """Return what the schema finds, in order of the place."""
-    found = {problem_of(error) for error in VALIDATOR.iter_errors(document)}
+def schema_problems(document: Any) -> list[Problem]:
+    """Return the schema violations of a document, sorted by path."""
+    found = {problem_from_error(error) for error in VALIDATOR.iter_errors(document)}
     return sorted(found, key=lambda problem: (problem.path, problem.text))
 
 
 def reference_problems(document: dict) -> Iterator[Problem]:
-    """Yield names that nothing stands behind."""
+    """Yield references to services and customers that are not defined."""
     services = document.get("services", {})
     customers = document.get("customers", {})
     for name in document.get("placements", {}):
@@ -193,7 +193,7 @@
 
 
 def document_problems(document: Any) -> list[Problem]:
-    """Check a document whole.
+    """Validate a complete document.
 
     Parameters
     ----------
@@ -203,9 +203,9 @@
     Returns
     -------
     problems : list of Problem
-        Everything that is wrong; empty for a good document.
+        All errors; empty if the document is valid.
     """
-    problems = form_problems(document)
+    problems = schema_problems(document)
     if problems:
         return problems
     problems = list(reference_problems(document))
--- a/src/rosemaryknot/version/effect.py
+++ b/src/rosemaryknot/version/effect.py
@@ -1,4 +1,4 @@
-"""What a change of the configuration does, in words, and what it takes away."""
+"""Descriptions of configuration changes, and checks for changes that lose something."""
 
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass
@@ -13,31 +13,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Danger:
-    """A loss that an operator must name before the change is taken.
+    """Loss that an operator must confirm by name before the change is accepted.
 
     Attributes
     ----------
     word : str
-        What to give as confirmation: the name of what is lost.
+        Confirmation word: the name of what is lost.
     text : str
-        The loss in words.
+        Description of the loss.
     """
 
     word: str
     text: str
 
 
-DANGERS: list[Callable[[ConfigurationView, ConfigurationView], Iterator[Danger]]] = []
+DANGER_CHECKS: list[
+    Callable[[ConfigurationView, ConfigurationView], Iterator[Danger]]
+] = []
 
 
-def danger(function: Callable) -> Callable:
-    """Register a function that finds dangers of a change."""
-    DANGERS.append(function)
+def register_danger_check(function: Callable) -> Callable:
+    """Register a function that yields the dangers of a change."""
+    DANGER_CHECKS.append(function)
     return function
 
 
 def instances(count: int) -> str:
-    """Return a count in words.
+    """Return a number of instances with its unit.
 
     Examples
     --------
@@ -48,7 +50,7 @@
 
 
 def value_text(value: Any) -> str:
-    """Return a value as a person reads it."""
+    """Format a value for display."""
     if isinstance(value, dict):
         return ", ".join(f"{key} {value_text(item)}" for key, item in value.items())
     if isinstance(value, list):
@@ -59,7 +61,7 @@
 
 
 def field_changes(label: str, old: Mapping, new: Mapping) -> Iterator[str]:
-    """Yield one sentence for each field that differs."""
+    """Yield one description for each field that differs."""
     for key in sorted(set(old) | set(new)):
         if old.get(key) == new.get(key):
             continue
@@ -72,29 +74,31 @@
             yield f"{label}: {key} {change}"
 
 
-def entry_changes(what: str, old: Mapping, new: Mapping) -> Iterator[str]:
+def entry_changes(label: str, old: Mapping, new: Mapping) -> Iterator[str]:
     """Yield the changes of a table of named entries."""
     for name in sorted(set(old) | set(new)):
         if name not in old:
-            yield f"{what}{name}: new"
+            yield f"{label}{name}: new"
         elif name not in new:
-            yield f"{what}{name}: removed"
+            yield f"{label}{name}: removed"
         else:
-            yield from field_changes(f"{what}{name}", old[name], new[name])
+            yield from field_changes(f"{label}{name}", old[name], new[name])
 
 
 def placement_changes(old: Mapping, new: Mapping) -> Iterator[str]:
-    """Yield the changes of placements, counts first."""
+    """Yield the changes of placements; a changed count precedes other fields."""
     for service in sorted(set(old) | set(new)):
-        before, after = old.get(service, {}), new.get(service, {})
-        for zone in sorted(set(before) | set(after)):
-            was, will = before.get(zone, {}), after.get(zone, {})
+        old_zones, new_zones = old.get(service, {}), new.get(service, {})
+        for zone in sorted(set(old_zones) | set(new_zones)):
+            before, after = old_zones.get(zone, {}), new_zones.get(zone, {})
             label = f"{service} in {zone}"
-            had, gets = was.get("count", 0), will.get("count", 0)
-            if had != gets:
-                yield f"{label}: {had} {ARROW} {instances(gets)}"
-            rest = [{k: v for k, v in p.items() if k != "count"} for p in (was, will)]
-            if was and will:
+            old_count, new_count = before.get("count", 0), after.get("count", 0)
+            if old_count != new_count:
+                yield f"{label}: {old_count} {ARROW} {instances(new_count)}"
+            rest = [
+                {k: v for k, v in p.items() if k != "count"} for p in (before, after)
+            ]
+            if before and after:
                 yield from field_changes(label, *rest)
 
 
@@ -115,7 +119,7 @@
 
 
 def key_changes(old: Mapping, new: Mapping) -> Iterator[str]:
-    """Yield the changes of keys without their digests."""
+    """Yield the changes of API keys, without their digests."""
     for key_id in sorted(set(old) | set(new)):
         raw = new.get(key_id) or old[key_id]
         owner = raw.get("customer") or f"operator {raw.get('operator')}"
@@ -128,7 +132,7 @@
 
 
 def effect_of(old: Mapping, new: Mapping) -> list[str]:
-    """Tell in words what changes between two documents.
+    """Describe the differences between two documents.
 
     Parameters
     ----------
@@ -138,7 +142,7 @@
     Returns
     -------
     effect : list of str
-        One sentence for each change.
+        One description for each change.
 
     Examples
     --------
@@ -148,26 +152,28 @@
     ['kit-assistant in waco-b: 2 → 3 instances']
     """
 
-    def parts(key: str) -> tuple[Mapping, Mapping]:
+    def section(key: str) -> tuple[Mapping, Mapping]:
         return old.get(key, {}), new.get(key, {})
 
     return [
-        *entry_changes("service ", *parts("services")),
-        *placement_changes(*parts("placements")),
-        *limit_changes(*parts("customers")),
-        *key_changes(*parts("keys")),
-        *field_changes("rules", *parts("rules")),
+        *entry_changes("service ", *section("services")),
+        *placement_changes(*section("placements")),
+        *limit_changes(*section("customers")),
+        *key_changes(*section("keys")),
+        *field_changes("rules", *section("rules")),
     ]
 
 
 def capacity(view: ConfigurationView, service: str) -> int:
-    """Return how many instances of a service are wanted in all zones."""
+    """Return the number of instances requested for a service in all zones."""
     return sum(place.count for place in view.placements.get(service, {}).values())
 
 
-@danger
-def lost_services(old: ConfigurationView, new: ConfigurationView) -> Iterator[Danger]:
-    """Yield services that lose their last placement."""
+@register_danger_check
+def services_without_placement(
+    old: ConfigurationView, new: ConfigurationView
+) -> Iterator[Danger]:
+    """Yield services that lose their last placement or are removed."""
     for service in old.placements:
         if capacity(old, service) > 0 and capacity(new, service) == 0:
             yield Danger(service, f"{service} loses its last placement")
@@ -177,9 +183,9 @@
             yield Danger(service, f"{service} is removed")
 
 
-@danger
+@register_danger_check
 def lost_capacity(old: ConfigurationView, new: ConfigurationView) -> Iterator[Danger]:
-    """Yield services that lose more of their capacity at once than the rules allow."""
+    """Yield services that lose more capacity in one change than the rules allow."""
     share = old.rules.max_capacity_change_share
     for service in old.placements:
         before, after = capacity(old, service), capacity(new, service)
@@ -189,40 +195,40 @@
             yield Danger(f"{lost}-of-{before}-{service}", text)
 
 
-@danger
-def lost_limits(old: ConfigurationView, new: ConfigurationView) -> Iterator[Danger]:
-    """Yield customers that are shut out of a service, or removed."""
+@register_danger_check
+def lost_access(old: ConfigurationView, new: ConfigurationView) -> Iterator[Danger]:
+    """Yield customers that are removed or lose access to a service."""
     for name, customer in old.customers.items():
         if name not in new.customers:
             yield Danger(name, f"customer {name} is removed")
             continue
         after = new.customers[name]
         for service in new.services:
-            if is_open(customer, service) and not is_open(after, service):
+            if has_access(customer, service) and not has_access(after, service):
                 text = f"customer {name} may no longer use {service}"
                 yield Danger(f"{name}/{service}", text)
 
 
-def is_open(customer: Any, service: str) -> bool:
-    """Tell whether a customer may use a service at all."""
+def has_access(customer: Any, service: str) -> bool:
+    """Return whether a customer's limits for a service are above zero."""
     limit = customer.limit_for(service)
     return min(limit.tokens_per_minute, limit.concurrent_requests) > 0
 
 
-@danger
+@register_danger_check
 def lost_editors(old: ConfigurationView, new: ConfigurationView) -> Iterator[Danger]:
-    """Yield the loss of the last key that may change the configuration."""
+    """Yield the loss of the last API key that may change the configuration."""
     if has_editor(old) and not has_editor(new):
         yield Danger("editor-keys", "no operator's key is left that may patch")
 
 
 def has_editor(view: ConfigurationView) -> bool:
-    """Tell whether any key may change the configuration."""
+    """Return whether any API key may change the configuration."""
     return any(key.operator and key.role == "editor" for key in view.keys.values())
 
 
 def dangers_of(old: ConfigurationView, new: ConfigurationView) -> list[Danger]:
-    """Find what a change takes away that an operator must confirm by name.
+    """Return the losses of a change that an operator must confirm by name.
 
     Parameters
     ----------
@@ -234,4 +240,4 @@
     dangers : list of Danger
         One for each loss; empty for a harmless change.
     """
-    return [found for finder in DANGERS for found in finder(old, new)]
+    return [danger for check in DANGER_CHECKS for danger in check(old, new)]
--- a/src/rosemaryknot/version/keys.py
+++ b/src/rosemaryknot/version/keys.py
@@ -1,4 +1,4 @@
-"""API keys: how they are made, stored and checked."""
+"""Generation, storage format and verification of API keys."""
 
 import hashlib
 import hmac
@@ -7,24 +7,24 @@
 
 from rosemaryknot.version.tables import KeyEntry
 
-__all__ = ["key_digest", "new_key", "new_operator_key", "proven_entry"]
+__all__ = ["key_digest", "new_key", "new_operator_key", "verified_entry"]
 
 KEY_ID_BYTES = 6
 SECRET_BYTES = 32
 SALT_BYTES = 16
-NO_KEY = KeyEntry(bytes(SALT_BYTES), "0" * 64)
+UNKNOWN_KEY = KeyEntry(bytes(SALT_BYTES), "0" * 64)
 
 
 def key_digest(salt: bytes, secret: str) -> str:
-    """Return the digest that a stored key holds.
+    """Return the salted digest that is stored for a secret.
 
     Secrets are random and long, so one round of SHA-256 is enough.
     """
     return hashlib.sha256(salt + secret.encode()).hexdigest()
 
 
-def proven_entry(keys: Mapping[str, KeyEntry], api_key: str) -> KeyEntry | None:
-    """Return the stored key that an API key proves.
+def verified_entry(keys: Mapping[str, KeyEntry], api_key: str) -> KeyEntry | None:
+    """Return the stored entry of an API key if its secret is correct.
 
     Parameters
     ----------
@@ -36,19 +36,19 @@
     Returns
     -------
     entry : KeyEntry or None
-        None for a wrong key.
+        None for an invalid key.
     """
     key_id, _, secret = api_key.partition(".")
-    # An unknown key id costs the same digest and comparison as a known one, so
-    # that the time of an answer does not tell which ids exist.
-    entry = keys.get(key_id, NO_KEY)
+    # An unknown key id takes the same digest and comparison as a known one, so that
+    # the response time does not reveal which ids exist.
+    entry = keys.get(key_id, UNKNOWN_KEY)
     digest = key_digest(entry.salt, secret)
-    is_right = hmac.compare_digest(digest.encode(), entry.sha256.encode())
-    return entry if is_right and entry is not NO_KEY else None
+    is_match = hmac.compare_digest(digest.encode(), entry.sha256.encode())
+    return entry if is_match and entry is not UNKNOWN_KEY else None
 
 
-def new_secret() -> tuple[str, str, dict[str, str]]:
-    """Return a new API key, its id and the part that is stored."""
+def generate_key() -> tuple[str, str, dict[str, str]]:
+    """Return a new API key, its id and the fields to be stored."""
     key_id = secrets.token_hex(KEY_ID_BYTES)
     secret = secrets.token_urlsafe(SECRET_BYTES)
     salt = secrets.token_bytes(SALT_BYTES)
@@ -57,7 +57,7 @@
 
 
 def new_key(customer: str) -> tuple[str, dict[str, dict[str, str]]]:
-    """Make an API key for a customer.
+    """Generate an API key for a customer.
 
     Parameters
     ----------
@@ -67,17 +67,17 @@
     Returns
     -------
     api_key : str
-        To be handed to the customer; stored nowhere.
+        Key to hand to the customer; it is not stored.
     stored : dict
-        One entry for the ``keys`` of the document, by its key id.
+        Entry for the ``keys`` of the document, by key id.
     """
-    api_key, key_id, stored = new_secret()
+    api_key, key_id, stored = generate_key()
     return api_key, {key_id: {**stored, "customer": customer}}
 
 
 def new_operator_key(
     operator: str, role: str = "viewer"
 ) -> tuple[str, dict[str, dict[str, str]]]:
-    """Make an API key for an operator; see `new_key`."""
-    api_key, key_id, stored = new_secret()
+    """Generate an API key for an operator; see `new_key`."""
+    api_key, key_id, stored = generate_key()
     return api_key, {key_id: {**stored, "operator": operator, "role": role}}
--- a/src/rosemaryknot/version/operators_api.py
+++ b/src/rosemaryknot/version/operators_api.py
@@ -1,4 +1,4 @@
-"""Operators' API of the configuration, and the application that others add to."""
+"""Operators' API of the configuration, and the web application that serves it."""
 
 import hmac
 import json
@@ -35,11 +35,11 @@
 __all__ = ["operators_app"]
 
 MAX_BODY_BYTES = 512 * 1024
-RETRY_S = 2
-PATCH_ID = re.compile(r"[A-Za-z0-9_-]{8,64}")
-BOOTSTRAP = Operator("bootstrap", "editor")
+RETRY_AFTER_S = 2
+PATCH_ID_PATTERN = re.compile(r"[A-Za-z0-9_-]{8,64}")
+BOOTSTRAP_OPERATOR = Operator("bootstrap", "editor")
 
-OUTCOMES: dict[type, tuple[str, int]] = {
+OUTCOME_STATUS: dict[type, tuple[str, int]] = {
     Accepted: ("accepted", 200),
     DryRun: ("dry_run", 200),
     StalePatch: ("stale", 412),
@@ -54,47 +54,47 @@
 }
 
 
-def answer(status: int, **body: Any) -> Response:
-    """Return a JSON answer."""
+def json_response(status: int, **body: Any) -> Response:
+    """Return a JSON response."""
     response = Response(json.dumps(body), status, content_type="application/json")
     if status == 503:
-        response.headers["Retry-After"] = str(RETRY_S)
+        response.headers["Retry-After"] = str(RETRY_AFTER_S)
     return response
 
 
-def refusal(status: int, outcome: str, detail: str) -> Response:
-    """Return an answer that says what was wrong with the request."""
-    return answer(status, outcome=outcome, detail=detail)
+def error_response(status: int, outcome: str, detail: str) -> Response:
+    """Return a JSON response that describes an error of the request."""
+    return json_response(status, outcome=outcome, detail=detail)
 
 
-def outcome_answer(result: SubmitResult | NotAccepted) -> Response:
-    """Return the answer for what became of a patch."""
-    outcome, status = OUTCOMES[type(result)]
+def outcome_response(result: SubmitResult | NotAccepted) -> Response:
+    """Return the response for the result of a patch."""
+    outcome, status = OUTCOME_STATUS[type(result)]
     body = asdict(result)
     for change in body.get("changes", ()):
         del change["undo"]
-    return answer(status, outcome=outcome, **body)
+    return json_response(status, outcome=outcome, **body)
 
 
-def operator_of(
+def authenticated_operator(
     authorization: str, view: ConfigurationView | None, bootstrap_key: str
 ) -> Operator | None:
-    """Return who asks.
+    """Authenticate the operator of a request.
 
     Parameters
     ----------
     authorization : str
         Value of the ``Authorization`` header.
     view : ConfigurationView or None
-        Configuration in force.
+        Current configuration; None before the first version.
     bootstrap_key : str
-        Key of the operator who makes the first version; empty for none. It counts
-        only as long as no key of the configuration may change anything.
+        Key that allows an operator to create the first version; empty for none. It
+        is valid only while no key of the configuration may change anything.
 
     Returns
     -------
     operator : Operator or None
-        None for a wrong key.
+        None for an invalid key.
     """
     scheme, _, key = authorization.partition(" ")
     if scheme.lower() != "bearer" or not key.strip():
@@ -103,21 +103,25 @@
     operator = None if view is None else view.operator_for_key(key)
     if operator is not None:
         return operator
-    is_open = bool(bootstrap_key) and (view is None or not has_editor(view))
-    if is_open and hmac.compare_digest(key.encode(), bootstrap_key.encode()):
-        return BOOTSTRAP
+    is_bootstrap_allowed = bool(bootstrap_key) and (
+        view is None or not has_editor(view)
+    )
+    if is_bootstrap_allowed and hmac.compare_digest(
+        key.encode(), bootstrap_key.encode()
+    ):
+        return BOOTSTRAP_OPERATOR
     return None
 
 
 class ConfigurationApi:
-    """Calls on the configuration.
+    """HTTP endpoints of the configuration.
 
     Parameters
     ----------
     holder : ConfigurationHolder
-        What is in force here.
+        Current configuration of this node.
     store : ConfigurationStore
-        Where patches go.
+        Store to which patches are submitted.
     """
 
     def __init__(self, holder: ConfigurationHolder, store: ConfigurationStore) -> None:
@@ -137,16 +141,16 @@
         return routes
 
     async def show(self) -> Response:
-        """Answer with the version in force, or with an earlier one."""
+        """Return the current version, or an earlier one."""
         at = request.args.get("at", type=int)
         if "at" in request.args and at is None:
-            return refusal(400, "bad_request", "at must be a number")
+            return error_response(400, "bad_request", "at must be a number")
         if at is not None and at != self.holder.number:
             return await self.show_earlier(at)
         view, conflict = self.holder.view, self.holder.conflict
         if view is None:
-            return answer(200, number=0, digest="", document={}, conflict=None)
-        return answer(
+            return json_response(200, number=0, digest="", document={}, conflict=None)
+        return json_response(
             200,
             number=view.number,
             digest=view.digest,
@@ -155,112 +159,119 @@
         )
 
     async def show_earlier(self, number: int) -> Response:
-        """Answer with a version from the history."""
+        """Return a version from the history."""
         stored = await self.store.read()
         if not isinstance(stored, StoredConfiguration):
-            return outcome_answer(stored)
+            return outcome_response(stored)
         document = stored.document_at(number)
         if document is None:
-            return refusal(404, "forgotten", f"{number} is not in the history")
-        return answer(200, number=number, document=document)
+            return error_response(404, "forgotten", f"{number} is not in the history")
+        return json_response(200, number=number, document=document)
 
     async def patch(self) -> Response:
         """Submit a patch."""
         base = request.headers.get("If-Match", "").strip('"')
         patch_id = request.headers.get("Rosemaryknot-Patch", "")
         if not base.isdecimal():
-            return refusal(428, "bad_request", "send If-Match: the base number")
-        if not PATCH_ID.fullmatch(patch_id):
+            return error_response(428, "bad_request", "send If-Match: the base number")
+        if not PATCH_ID_PATTERN.fullmatch(patch_id):
             detail = "send Rosemaryknot-Patch: an id of 8 to 64 letters and digits"
-            return refusal(400, "bad_request", detail)
-        if g.operator is BOOTSTRAP and int(base) != 0 and self.holder.view is None:
-            # A node that knows no version yet cannot tell whether there are
-            # editors; its bootstrap key may make the first version only.
-            return refusal(403, "forbidden", "the bootstrap key starts from 0")
+            return error_response(400, "bad_request", detail)
+        if (
+            g.operator is BOOTSTRAP_OPERATOR
+            and int(base) != 0
+            and self.holder.view is None
+        ):
+            # A node without a version does not know whether there are editors, so
+            # its bootstrap key may create the first version only.
+            return error_response(403, "forbidden", "the bootstrap key starts from 0")
         try:
             operations = json.loads(await request.get_data())
         except (ValueError, RecursionError):
-            return refusal(400, "bad_request", "the body is not JSON")
+            return error_response(400, "bad_request", "the body is not JSON")
         patch = Patch(patch_id, int(base), operations, g.operator.name)
         confirmed = frozenset(request.args.getlist("confirm"))
         dry_run = request.args.get("dry_run", "") not in ("", "0")
-        return outcome_answer(await self.store.submit(patch, confirmed, dry_run))
+        return outcome_response(await self.store.submit(patch, confirmed, dry_run))
 
     async def restore(self) -> Response:
-        """Store the version in force here again, after the store lost it."""
+        """Store the current version of this node again after the store has lost it."""
         patch_id = request.headers.get("Rosemaryknot-Patch", "")
-        if not PATCH_ID.fullmatch(patch_id):
-            return refusal(400, "bad_request", "send Rosemaryknot-Patch: an id")
+        if not PATCH_ID_PATTERN.fullmatch(patch_id):
+            return error_response(400, "bad_request", "send Rosemaryknot-Patch: an id")
         if request.headers.get("If-Match", "").strip('"') != str(self.holder.number):
             detail = f"send If-Match: {self.holder.number}, the number in force here"
-            return refusal(412, "stale", detail)
-        return outcome_answer(await self.store.restore(patch_id, g.operator.name))
+            return error_response(412, "stale", detail)
+        return outcome_response(await self.store.restore(patch_id, g.operator.name))
 
     async def patch_status(self, patch_id: str) -> Response:
-        """Tell what became of a patch."""
+        """Return the result of a patch by its id."""
         base = request.args.get("base", type=int)
-        return outcome_answer(await self.store.patch_status(patch_id, base))
+        return outcome_response(await self.store.patch_status(patch_id, base))
 
     async def history(self) -> Response:
-        """Answer with the recent changes, newest first."""
+        """Return the recent changes, newest first."""
         stored = await self.store.read()
         if not isinstance(stored, StoredConfiguration):
-            return outcome_answer(stored)
+            return outcome_response(stored)
         changes = [asdict(change) for change in reversed(stored.history)]
-        return answer(200, number=stored.number, changes=changes)
+        return json_response(200, number=stored.number, changes=changes)
 
     async def diff(self) -> Response:
-        """Answer with the difference of two versions, in words and operations."""
+        """Return the differences of two versions, as descriptions and operations."""
         numbers = [request.args.get(name, type=int) for name in ("from", "to")]
         if None in numbers:
-            return refusal(400, "bad_request", "from and to must be numbers")
+            return error_response(400, "bad_request", "from and to must be numbers")
         stored = await self.store.read()
         if not isinstance(stored, StoredConfiguration):
-            return outcome_answer(stored)
+            return outcome_response(stored)
         old, new = (stored.document_at(number) for number in numbers)
         if old is None or new is None:
-            return refusal(404, "forgotten", "a version is not in the history")
+            return error_response(404, "forgotten", "a version is not in the history")
         operations = operations_between(old, new)
-        return answer(200, effect=effect_of(old, new), operations=operations)
+        return json_response(200, effect=effect_of(old, new), operations=operations)
 
     async def undo(self) -> Response:
-        """Answer with the patch that takes a change back."""
+        """Return the patch that reverts a change."""
         number = request.args.get("number", type=int)
         if number is None:
-            return refusal(400, "bad_request", "number must be a number")
+            return error_response(400, "bad_request", "number must be a number")
         stored = await self.store.read()
         if not isinstance(stored, StoredConfiguration):
-            return outcome_answer(stored)
+            return outcome_response(stored)
         undo = undo_patch(stored, number)
         if isinstance(undo, UndoPatch):
-            return answer(200, base=undo.base, operations=undo.operations)
+            return json_response(200, base=undo.base, operations=undo.operations)
         if isinstance(undo, Overlap):
             detail = f"change {undo.number} touches {undo.path} too: undo that first"
-            return refusal(409, "overlap", detail)
-        return refusal(404, "forgotten", f"change {number} is not in the history")
+            return error_response(409, "overlap", detail)
+        return error_response(
+            404, "forgotten", f"change {number} is not in the history"
+        )
 
 
 def operators_app(
     holder: ConfigurationHolder, store: ConfigurationStore, bootstrap_key: str = ""
 ) -> QuartTrio:
-    """Make the application of the operators' API.
+    """Create the application of the operators' API.
 
-    Every path under ``/v1/`` needs an operator's key, and every method but GET an
-    editor's; further blueprints find who asks in ``quart.g.operator``.
+    Every path under ``/v1/`` requires an operator's key, and every method except GET
+    and HEAD requires an editor's. Other blueprints find the authenticated operator in
+    ``quart.g.operator``.
 
     Parameters
     ----------
     holder : ConfigurationHolder
-        What is in force here.
+        Current configuration of this node.
     store : ConfigurationStore
-        Where patches go.
+        Store to which patches are submitted.
     bootstrap_key : str
-        See `operator_of`.
+        See `authenticated_operator`.
 
     Returns
     -------
     app : QuartTrio
-        To be given further blueprints and served.
+        Application to which other blueprints can be added.
     """
     app = QuartTrio(__name__)
     app.config["MAX_CONTENT_LENGTH"] = MAX_BODY_BYTES
@@ -270,12 +281,12 @@
         if not request.path.startswith("/v1/"):
             return None
         header = request.headers.get("Authorization", "")
-        operator = operator_of(header, holder.view, bootstrap_key)
+        operator = authenticated_operator(header, holder.view, bootstrap_key)
         if operator is None:
-            return refusal(401, "unauthenticated", "send an operator's key")
+            return error_response(401, "unauthenticated", "send an operator's key")
         if request.method not in ("GET", "HEAD") and not operator.may_patch:
             detail = f"{operator.name} is a viewer and may change nothing"
-            return refusal(403, "forbidden", detail)
+            return error_response(403, "forbidden", detail)
         g.operator = operator
         return None
 
--- a/src/rosemaryknot/version/patch.py
+++ b/src/rosemaryknot/version/patch.py
@@ -1,4 +1,4 @@
-"""A change of the configuration: JSON Patch against a numbered version."""
+"""Configuration changes as JSON Patch documents against a numbered version."""
 
 import copy
 from dataclasses import dataclass
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True)
 class Patch:
-    """What an operator wants changed.
+    """Change submitted by an operator.
 
     Attributes
     ----------
     patch_id : str
-        Chosen by the operator's program; names the change when its answer is lost.
+        Id chosen by the client; identifies the change if the response is lost.
     base : int
-        Number that the operator looked at.
+        Version number that the patch applies to.
     operations : list of dict
         JSON Patch (RFC 6902).
     author : str
@@ -45,19 +45,19 @@
 
 
 def apply_operations(document: dict, operations: Any) -> dict | list[Problem]:
-    """Apply JSON Patch operations one by one to a copy.
+    """Apply JSON Patch operations one by one to a copy of a document.
 
     Parameters
     ----------
     document : dict
-        Base document; left as it is.
+        Base document; not modified.
     operations : list of dict
         JSON Patch.
 
     Returns
     -------
     result : dict or list of Problem
-        The changed document, or what is wrong with the first bad operation.
+        The changed document, or the error of the first invalid operation.
     """
     if not isinstance(operations, list) or not operations:
         return [Problem("", "a patch is a list of at least one operation")]
@@ -75,8 +75,8 @@
 def error_text(error: Exception) -> str:
     """Return why an operation cannot be applied.
 
-    The library's texts quote the whole of what was searched or tested: a page of JSON
-    that hides the reason, with the digests of keys in it.
+    The library's messages quote the entire value that was searched or tested. Such a
+    message hides the reason in a page of JSON and contains the digests of API keys.
 
     Examples
     --------
@@ -96,7 +96,7 @@
 
 
 def changed_document(document: dict, operations: Any) -> dict | list[Problem]:
-    """Apply operations and check the outcome whole; see `apply_operations`."""
+    """Apply operations and validate the resulting document; see `apply_operations`."""
     changed = apply_operations(document, operations)
     if isinstance(changed, list):
         return changed
@@ -104,5 +104,5 @@
 
 
 def operations_between(old: dict, new: dict) -> list[dict]:
-    """Return the JSON Patch that makes one document of the other."""
+    """Return the JSON Patch that converts the old document into the new one."""
     return jsonpatch.make_patch(old, new).patch
--- a/src/rosemaryknot/version/placement_targets.py
+++ b/src/rosemaryknot/version/placement_targets.py
@@ -1,4 +1,4 @@
-"""What a version of the configuration wants of each service's placement."""
+"""Placement targets of each service, derived from the configuration."""
 
 from rosemaryknot.values.placement import ServiceTarget, ZoneTarget
 from rosemaryknot.version.tables import Service
@@ -13,13 +13,13 @@
     Parameters
     ----------
     view : ConfigurationView or None
-        The version in force; None before the first.
+        Current version; None before the first.
 
     Returns
     -------
     targets : dict of str to ServiceTarget
-        By service. One without a placement is none of placement's business: its
-        instances are started and released by others.
+        Targets by service. Services without a placement are omitted: their instances
+        are started and released by other means.
     """
     if view is None:
         return {}
@@ -31,7 +31,7 @@
 
 
 def service_target(view: ConfigurationView, service: Service) -> ServiceTarget:
-    """Return the target of one service."""
+    """Return the placement target of one service."""
     zones = tuple(
         ZoneTarget(
             zone,
--- a/src/rosemaryknot/version/store.py
+++ b/src/rosemaryknot/version/store.py
@@ -1,7 +1,7 @@
-"""Submission of patches to the one stored object, and what comes of them.
+"""Submission of patches to the stored configuration object.
 
-The object is only ever written on the condition of the version that was read, so of
-two operators who race exactly one is accepted.
+Every write is conditional on the object version that was read. If two operators submit
+patches concurrently, exactly one of them is accepted.
 """
 
 import time
@@ -22,9 +22,9 @@
 )
 from rosemaryknot.version.document import Problem
 from rosemaryknot.version.effect import dangers_of, effect_of
-from rosemaryknot.version.kept_ids import kept_id_problems
 from rosemaryknot.version.patch import Patch, changed_document
-from rosemaryknot.version.stored import StoredConfiguration, read_stored
+from rosemaryknot.version.request_id_retention import request_id_problems
+from rosemaryknot.version.stored import StoredConfiguration, parse_stored
 from rosemaryknot.version.submission import (
     Accepted,
     DamagedObject,
@@ -45,31 +45,31 @@
 KIND = "configuration"
 NAME = "main"
 SUBMIT_TIMEOUT_S = 6.0
-PAUSE_S = 0.25
+WRITE_RETRY_INTERVAL_S = 0.25
 RESTORE_EFFECT = "version {number} is in force again after the store lost it"
 
 log = logger("configuration")
 
 
 @dataclass(slots=True)
-class Prepared:
-    """A patch that passed all checks, with the object to be written."""
+class PreparedWrite:
+    """Object to be written for a patch that passed all checks."""
 
     changed: StoredConfiguration
     effect: list[str] = field(default_factory=list)
 
 
 class ConfigurationStore:
-    """The configuration in the platform's object API.
+    """Configuration stored in the platform's object API.
 
     Parameters
     ----------
     platform : ObjectStore
-        Object API.
+        Client of the object API.
     holder : ConfigurationHolder
-        What is in force here; told of each version that is accepted here.
+        Current configuration of this node; receives each version accepted here.
     clock : callable
-        Wall clock in seconds of the epoch, for the history.
+        Wall clock that returns Unix time in seconds, for the history.
     """
 
     def __init__(
@@ -83,14 +83,14 @@
         self.clock = clock
 
     async def read(self) -> StoredConfiguration | DamagedObject | StoreUnavailable:
-        """Read the object; number 0 where there is none."""
-        answer = await self.platform.read(KIND, NAME)
-        if isinstance(answer, Missing):
+        """Read the object; the number is 0 if there is none."""
+        response = await self.platform.read(KIND, NAME)
+        if isinstance(response, Missing):
             return StoredConfiguration()
-        if isinstance(answer, StoredObject):
-            stored = read_stored(answer.value, answer.version)
+        if isinstance(response, StoredObject):
+            stored = parse_stored(response.value, response.version)
             return DamagedObject() if stored is None else stored
-        return StoreUnavailable(answer.reason)
+        return StoreUnavailable(response.reason)
 
     async def submit(
         self,
@@ -98,27 +98,27 @@
         confirmed: frozenset[str] = frozenset(),
         dry_run: bool = False,
     ) -> SubmitResult:
-        """Apply a patch to its base, or say why not.
+        """Apply a patch to its base version and store the result.
 
         Parameters
         ----------
         patch : Patch
             The change.
         confirmed : frozenset of str
-            Words of the losses that the operator named.
+            Confirmation words of the dangers that the operator confirmed.
         dry_run : bool
-            Whether only to tell the effect.
+            Whether to return the effect without storing anything.
 
         Returns
         -------
         result : SubmitResult
-            What became of it.
+            Result of the submission.
         """
         stored = await self.read()
         if not isinstance(stored, StoredConfiguration):
             return stored
         prepared = self.prepare(stored, patch, confirmed, dry_run)
-        if not isinstance(prepared, Prepared):
+        if not isinstance(prepared, PreparedWrite):
             return prepared
         return await self.write(prepared, patch)
 
@@ -128,15 +128,15 @@
         patch: Patch,
         confirmed: frozenset[str],
         dry_run: bool,
-    ) -> Prepared | SubmitResult:
-        """Check a patch against the stored version."""
-        known = stored.patches.get(patch.patch_id)
-        if known is not None:
-            return repeated(stored, patch, known)
-        if self.is_behind(stored):
+    ) -> PreparedWrite | SubmitResult:
+        """Validate a patch against the stored version."""
+        accepted_number = stored.patches.get(patch.patch_id)
+        if accepted_number is not None:
+            return repeated_patch_result(stored, patch, accepted_number)
+        if self.is_store_behind(stored):
             return StoreConflict(stored.number, self.holder.number)
         if patch.base != stored.number:
-            return stale(stored, patch.base)
+            return stale_patch_result(stored, patch.base)
         document = changed_document(stored.document, patch.operations)
         if isinstance(document, list):
             return InvalidPatch(document)
@@ -144,24 +144,27 @@
         if not effect:
             return InvalidPatch([Problem("", "the patch changes nothing")])
         now_s = self.clock()
-        old, new = stored.view_of(stored.document), stored.view_of(document)
-        problems = list(kept_id_problems(stored.removed, old, new, now_s))
+        old, new = (
+            stored.view_for_document(stored.document),
+            stored.view_for_document(document),
+        )
+        problems = list(request_id_problems(stored.removed, old, new, now_s))
         if problems:
             return InvalidPatch(problems)
         dangers = dangers_of(old, new)
         if dry_run:
             return DryRun(stored.number + 1, effect, dangers)
-        open_dangers = [danger for danger in dangers if danger.word not in confirmed]
-        if open_dangers:
-            return NeedsConfirm(open_dangers, effect)
-        changed = stored.changed_by(patch, document, effect, now_s)
-        return Prepared(changed, effect)
+        unconfirmed = [danger for danger in dangers if danger.word not in confirmed]
+        if unconfirmed:
+            return NeedsConfirm(unconfirmed, effect)
+        changed = stored.with_change(patch, document, effect, now_s)
+        return PreparedWrite(changed, effect)
 
-    def is_behind(self, stored: StoredConfiguration) -> bool:
-        """Tell whether the store lost what is in force here.
+    def is_store_behind(self, stored: StoredConfiguration) -> bool:
+        """Return whether the store has lost the current version of this node.
 
-        A patch on top of a restored backup would take the number of an accepted
-        change and be refused by every node that holds it.
+        A patch on top of a restored backup would reuse the number of an accepted
+        change, and every node with that change would reject it.
         """
         if self.holder.settles_current(stored.settles):
             return False
@@ -169,42 +172,42 @@
             return True
         return bool(self.holder.conflicting_digest(stored.push))
 
-    async def write(self, prepared: Prepared, patch: Patch) -> SubmitResult:
-        """Write the object until it is known what came of it.
+    async def write(self, prepared: PreparedWrite, patch: Patch) -> SubmitResult:
+        """Repeat a conditional write until its outcome is known.
 
-        A lost answer may follow a write that took effect, or one that still will.
-        Sending the same conditional write again is safe: all of them ask for one
-        version of the object, so at most one takes effect, and the patch id in the
-        object tells whether it was ours.
+        When a response is lost, the write may have taken effect or may still do so.
+        Repeating the same conditional write is safe: all attempts require the same
+        object version, so at most one takes effect. The patch id in the object shows
+        whether the stored change is this one.
         """
         changed = prepared.changed
         accepted = Accepted(changed.number, patch.patch_id, prepared.effect)
-        is_maybe_written = False
+        may_be_written = False
         reason = "timeout"
         with trio.move_on_after(SUBMIT_TIMEOUT_S):
             while True:
-                answer = await self.write_once(changed)
-                if isinstance(answer, Written):
-                    return self.take(changed, accepted, patch.author)
-                if isinstance(answer, PlatformFailed):
-                    reason = answer.reason
-                    is_maybe_written = is_maybe_written or answer.maybe_done
-                    if not is_maybe_written:
+                response = await self.write_once(changed)
+                if isinstance(response, Written):
+                    return self.apply_accepted(changed, accepted, patch.author)
+                if isinstance(response, PlatformFailed):
+                    reason = response.reason
+                    may_be_written = may_be_written or response.maybe_done
+                    if not may_be_written:
                         return StoreUnavailable(reason)
                 result = await self.read_back(patch, changed.version)
                 if isinstance(result, Accepted):
-                    return self.take(changed, accepted, patch.author)
+                    return self.apply_accepted(changed, accepted, patch.author)
                 if isinstance(result, StalePatch):
                     return result
-                if not is_maybe_written:
+                if not may_be_written:
                     return StoreUnavailable("the current number cannot be read")
-                await trio.sleep(PAUSE_S)
+                await trio.sleep(WRITE_RETRY_INTERVAL_S)
         return PatchUnknown(patch.patch_id, reason)
 
     async def write_once(
         self, changed: StoredConfiguration
     ) -> Written | Conflict | PlatformFailed:
-        """Write the object on the condition of the version that was read."""
+        """Write the object if it still has the version that was read."""
         if changed.version == 0:
             return await self.platform.create(KIND, NAME, changed.to_value())
         return await self.platform.update(
@@ -214,24 +217,24 @@
     async def read_back(
         self, patch: Patch, version: int
     ) -> Accepted | StalePatch | None:
-        """Tell from the object what came of a write; None where it does not tell.
+        """Determine the outcome of a write from the object; None if it is unknown.
 
-        An object that still has the version of before proves nothing: the write may
-        be on its way.
+        An object that still has the previous version proves nothing, since the write
+        may still be in transit.
         """
         stored = await self.read()
         if not isinstance(stored, StoredConfiguration) or stored.version == version:
             return None
         if patch.patch_id in stored.patches:
             return Accepted(stored.patches[patch.patch_id], patch.patch_id, [])
-        return stale(stored, patch.base)
+        return stale_patch_result(stored, patch.base)
 
-    def take(
+    def apply_accepted(
         self, changed: StoredConfiguration, accepted: Accepted, author: str
     ) -> Accepted:
-        """Put an accepted version into force here, from where it spreads."""
+        """Apply an accepted version to this node, which then distributes it."""
         log.info(
-            f"accepted {changed.number} by {author}",
+            f"accepted configuration {changed.number} by {author}",
             number=changed.number,
             patch=accepted.patch_id,
         )
@@ -241,20 +244,21 @@
     async def patch_status(
         self, patch_id: str, base: int | None = None
     ) -> Accepted | NotAccepted | PatchUnknown | StoreUnavailable | DamagedObject:
-        """Tell what became of a patch whose answer was lost.
+        """Return the result of a patch whose response was lost.
 
         Parameters
         ----------
         patch_id : str
             Id of the patch.
         base : int, optional
-            Its base. With it a patch that is not stored can be told from one that
-            may still come: once the number has passed the base, it never will.
+            Its base version number. Once the stored number exceeds the base, a patch
+            that is not stored can no longer be accepted; without the base this cannot
+            be determined.
 
         Returns
         -------
         status : Accepted or NotAccepted or PatchUnknown or StoreUnavailable
-            What is known.
+            Result, as far as it is known.
         """
         stored = await self.read()
         if not isinstance(stored, StoredConfiguration):
@@ -270,10 +274,11 @@
         return PatchUnknown(patch_id, "not stored so far")
 
     async def restore(self, patch_id: str, author: str) -> SubmitResult:
-        """Store what is in force here again, as a new number above both.
+        """Store the current version of this node again, under a new number.
 
-        For a store that was restored from a backup, and to settle a conflict of two
-        documents under one number: every node takes the new number.
+        The new number exceeds both the stored and the current one. This repairs a
+        store that was restored from a backup and resolves a conflict of two documents
+        with the same number, since every node adopts the new number.
 
         Parameters
         ----------
@@ -285,36 +290,36 @@
         Returns
         -------
         result : SubmitResult
-            What became of it.
+            Result of the submission.
         """
         stored = await self.read()
         if not isinstance(stored, StoredConfiguration):
             return stored
         patch = Patch(patch_id, stored.number, [], author)
         if patch_id in stored.patches:
-            return repeated(stored, patch, stored.patches[patch_id])
-        if self.holder.view is None or not self.is_behind(stored):
+            return repeated_patch_result(stored, patch, stored.patches[patch_id])
+        if self.holder.view is None or not self.is_store_behind(stored):
             return InvalidPatch([Problem("", "the store holds what is in force")])
         view = self.holder.view
         effect = [RESTORE_EFFECT.format(number=view.number)]
-        changed = stored.changed_by(patch, dict(view.document), effect, self.clock())
+        changed = stored.with_change(patch, dict(view.document), effect, self.clock())
         changed.settles = max(stored.number, view.number)
         changed.number = changed.settles + 1
         renumber(changed)
-        return await self.write(Prepared(changed, effect), patch)
+        return await self.write(PreparedWrite(changed, effect), patch)
 
 
 def renumber(changed: StoredConfiguration) -> None:
-    """Give the newest change the object's number."""
+    """Set the number of the newest change to the object's number."""
     changed.history[-1].number = changed.number
     changed.lineage[-1][0] = changed.number
     changed.patches[changed.history[-1].patch_id] = changed.number
 
 
-def repeated(
+def repeated_patch_result(
     stored: StoredConfiguration, patch: Patch, number: int
 ) -> Accepted | ReusedPatchId:
-    """Answer a patch whose id is stored: the same one again, or another."""
+    """Return the result for a patch id that is stored: a repeat or a reused id."""
     change = stored.change(number)
     if change is None:
         return Accepted(number, patch.patch_id, [])
@@ -326,8 +331,8 @@
     return Accepted(number, patch.patch_id, change.effect)
 
 
-def stale(stored: StoredConfiguration, base: int) -> StalePatch:
-    """Tell what changed since a base."""
+def stale_patch_result(stored: StoredConfiguration, base: int) -> StalePatch:
+    """Return the result for a patch with an outdated base version."""
     old = stored.document_at(base)
     effect = [] if old is None else effect_of(old, stored.document)
     return StalePatch(stored.number, stored.changes_since(base), effect)
--- a/src/rosemaryknot/version/stored.py
+++ b/src/rosemaryknot/version/stored.py
@@ -1,45 +1,45 @@
-"""The stored object of the configuration: the document, its number and its history."""
+"""Stored configuration object: the document, its number and its history."""
 
 import json
 from dataclasses import asdict, dataclass, field, fields
 from typing import Any
 
 from rosemaryknot.values.configuration import ConfigurationPush, document_digest
-from rosemaryknot.version.kept_ids import still_held
 from rosemaryknot.version.patch import Patch, apply_operations, operations_between
+from rosemaryknot.version.request_id_retention import reserved_after
 from rosemaryknot.version.view import ConfigurationView
 
-__all__ = ["Change", "StoredConfiguration", "read_stored"]
+__all__ = ["Change", "StoredConfiguration", "parse_stored"]
 
 MAX_CHANGES = 100
 MAX_HISTORY_BYTES = 400_000
 MAX_PATCH_IDS = 500
 MAX_LINEAGE = 200
-DIGEST_START = 16
+DIGEST_PREFIX_LENGTH = 16
 
 
 @dataclass(slots=True)
 class Change:
-    """One accepted patch.
+    """Accepted patch in the history.
 
     Attributes
     ----------
     number : int
-        Number that it made.
+        Version number that the patch created.
     base : int
-        Number that it was made against.
+        Version number that the patch was applied to.
     patch_id : str
-        Id that the operator's program gave it.
+        Id chosen by the operator's client.
     author : str
         Name of the operator.
     unix_s : float
-        When it was accepted, seconds of the epoch.
+        Unix time at which it was accepted, in seconds.
     effect : list of str
-        What it changed, in words.
+        Descriptions of what it changed.
     operations : list of dict or None
-        JSON Patch; None where it was dropped to keep the object small.
+        JSON Patch; None if it was dropped to limit the size of the object.
     undo : list of dict or None
-        JSON Patch back to the base.
+        JSON Patch that restores the base; None if it was dropped.
     """
 
     number: int
@@ -54,28 +54,28 @@
 
 @dataclass(slots=True)
 class StoredConfiguration:
-    """The configuration as the store holds it.
+    """Configuration with its history, as held in the store.
 
     Attributes
     ----------
     number : int
-        Version; 0 before the first patch.
+        Version number; 0 before the first patch.
     document : dict
         Configuration document.
     history : list of Change
         Recent changes, newest last.
     patches : dict of str to int
-        Numbers of recent patches by patch id.
+        Version numbers of recent patches by patch id.
     lineage : list of [int, str]
-        Recent numbers with the start of their digests, newest last.
+        Recent version numbers with their digest prefixes, newest last.
     removed : dict of str to dict
-        Removed plain services whose ids may still be repeated, with the fields of
-        `rosemaryknot.version.kept_ids.RemovedService`.
+        Removed plain services whose request ids have not all expired, with the
+        fields of `rosemaryknot.version.request_id_retention.RemovedService`.
     settles : int
         See `rosemaryknot.values.configuration.ConfigurationPush`.
     version : int
-        Version of the store's object, for the next conditional write; 0 where there
-        is no object.
+        Version of the stored object, for the next conditional write; 0 if there is
+        no object.
     """
 
     number: int = 0
@@ -94,31 +94,31 @@
 
     @property
     def push(self) -> ConfigurationPush:
-        """The version as a message."""
+        """Message that distributes this version."""
         return ConfigurationPush(
             self.number, self.digest, self.document, self.settles, self.lineage
         )
 
-    def changed_by(
+    def with_change(
         self, patch: Patch, document: dict, effect: list[str], unix_s: float
     ) -> "StoredConfiguration":
-        """Return the next version, with its version of the store's object.
+        """Return the next version, which keeps the object version of this one.
 
         Parameters
         ----------
         patch : Patch
-            The change.
+            Patch that is applied.
         document : dict
-            Document after it.
+            Document after the change.
         effect : list of str
-            What it changes, in words.
+            Descriptions of what it changes.
         unix_s : float
-            Time, seconds of the epoch.
+            Unix time in seconds.
 
         Returns
         -------
         changed : StoredConfiguration
-            To be written on the condition of this version.
+            Configuration to be written if the object still has this version.
         """
         change = Change(
             number=self.number + 1,
@@ -131,47 +131,50 @@
             undo=operations_between(document, self.document),
         )
         patches = {**self.patches, patch.patch_id: change.number}
-        lineage = [*self.lineage, [change.number, digest_start(document)]]
+        lineage = [*self.lineage, [change.number, digest_prefix(document)]]
         return StoredConfiguration(
             number=change.number,
             document=document,
-            history=bounded_history([*self.history, change]),
+            history=truncate_history([*self.history, change]),
             patches=dict(list(patches.items())[-MAX_PATCH_IDS:]),
             lineage=lineage[-MAX_LINEAGE:],
-            removed=self.removed_after(document, unix_s),
+            removed=self.reserved_names_after(document, unix_s),
             settles=self.settles,
             version=self.version,
         )
 
-    def view_of(self, document: dict) -> ConfigurationView:
-        """Return the tables of this document, or of the one to come after it."""
+    def view_for_document(self, document: dict) -> ConfigurationView:
+        """Return the view of a document: this one or its successor."""
         return ConfigurationView.from_document(self.number, document)
 
-    def removed_after(self, document: dict, unix_s: float) -> dict[str, dict]:
-        """Return the names of removed services that are held after a change."""
-        old, new = self.view_of(self.document), self.view_of(document)
-        return still_held(self.removed, old, new, unix_s)
+    def reserved_names_after(self, document: dict, unix_s: float) -> dict[str, dict]:
+        """Return the names of removed services that are reserved after a change."""
+        old, new = (
+            self.view_for_document(self.document),
+            self.view_for_document(document),
+        )
+        return reserved_after(self.removed, old, new, unix_s)
 
     def change(self, number: int) -> Change | None:
-        """Return the change that made a number, while it is remembered."""
+        """Return the change that created a version, or None if it is not stored."""
         return next((c for c in self.history if c.number == number), None)
 
     def changes_since(self, number: int) -> list[Change]:
-        """Return the remembered changes after a number, oldest first."""
+        """Return the changes in the history after a version number, oldest first."""
         return [change for change in self.history if change.number > number]
 
     def document_at(self, number: int) -> dict | None:
-        """Return the document of an earlier number.
+        """Return the document of an earlier version.
 
         Parameters
         ----------
         number : int
-            Version.
+            Version number.
 
         Returns
         -------
         document : dict or None
-            None where the history does not reach back that far.
+            None if the history does not reach back to this version.
         """
         document, current = self.document, self.number
         while current > number:
@@ -199,53 +202,53 @@
         return value
 
 
-def digest_start(document: dict) -> str:
-    """Return the part of a digest that a lineage keeps."""
-    return document_digest(document)[:DIGEST_START]
+def digest_prefix(document: dict) -> str:
+    """Return the prefix of a document's digest that the lineage stores."""
+    return document_digest(document)[:DIGEST_PREFIX_LENGTH]
 
 
-def bounded_history(changes: list[Change]) -> list[Change]:
-    """Keep the newest changes within the bounds.
+def truncate_history(changes: list[Change]) -> list[Change]:
+    """Return the newest changes within the limits on count and size.
 
-    The object must stay under the store's megabyte, or no patch can be written any
-    more; the oldest changes lose their operations first.
+    An object above the store's limit of one megabyte could not be written, and every
+    patch would fail. The oldest changes lose their operations first.
     """
-    kept = []
+    bounded = []
     size = 0
     for change in reversed(changes[-MAX_CHANGES:]):
         size += len(json.dumps(asdict(change)))
         if size > MAX_HISTORY_BYTES:
             change = Change(**{**asdict(change), "operations": None, "undo": None})
             change.effect = change.effect[:5]
-        kept.append(change)
-    return kept[::-1]
+        bounded.append(change)
+    return bounded[::-1]
 
 
-def known(cls: type, raw: dict) -> dict[str, Any]:
+def known_fields(cls: type, raw: dict) -> dict[str, Any]:
     """Return the entries of a JSON object that are fields of a class."""
     return {f.name: raw[f.name] for f in fields(cls) if f.name in raw}
 
 
-def read_stored(value: Any, version: int) -> StoredConfiguration | None:
-    """Read the store's object.
+def parse_stored(value: Any, version: int) -> StoredConfiguration | None:
+    """Parse the stored object.
 
     Parameters
     ----------
     value : object
         JSON value of the object.
     version : int
-        Its version in the store.
+        Version of the object in the store.
 
     Returns
     -------
     stored : StoredConfiguration or None
-        None where the value is damaged: wrong form, or a digest that does not fit.
+        None if the value is damaged: it has the wrong form or a wrong digest.
     """
     try:
-        stored = StoredConfiguration(**known(StoredConfiguration, value))
-        stored.history = [Change(**known(Change, raw)) for raw in stored.history]
+        stored = StoredConfiguration(**known_fields(StoredConfiguration, value))
+        stored.history = [Change(**known_fields(Change, raw)) for raw in stored.history]
         stored.version = version
-        is_whole = stored.number >= 1 and value.get("digest") == stored.digest
+        is_valid = stored.number >= 1 and value.get("digest") == stored.digest
     except (TypeError, KeyError, ValueError, AttributeError):
         return None
-    return stored if is_whole else None
+    return stored if is_valid else None
--- a/src/rosemaryknot/version/submission.py
+++ b/src/rosemaryknot/version/submission.py
@@ -1,4 +1,4 @@
-"""What can become of a submitted patch, each a value."""
+"""Result types of a submitted patch."""
 
 from dataclasses import dataclass
 
@@ -24,16 +24,16 @@
 
 @dataclass(slots=True)
 class Accepted:
-    """The patch is stored and will be in force everywhere.
+    """Result for a patch that is stored and will be applied by every node.
 
     Attributes
     ----------
     number : int
-        Number that it made.
+        Version number that the patch created.
     patch_id : str
-        Its id.
+        Id of the patch.
     effect : list of str
-        What it changes, in words.
+        Descriptions of what it changes.
     """
 
     number: int
@@ -43,16 +43,16 @@
 
 @dataclass(slots=True)
 class DryRun:
-    """What the patch would do; nothing was changed.
+    """Result of a dry run; nothing was changed.
 
     Attributes
     ----------
     number : int
-        Number that it would make.
+        Version number that the patch would create.
     effect : list of str
-        What it would change, in words.
+        Descriptions of what it would change.
     dangers : list of Danger
-        What must be confirmed.
+        Losses that must be confirmed.
     """
 
     number: int
@@ -62,12 +62,12 @@
 
 @dataclass(slots=True)
 class InvalidPatch:
-    """The patch does not apply, or its outcome is no good document.
+    """Result for a patch that does not apply or yields an invalid document.
 
     Attributes
     ----------
     problems : list of Problem
-        Everything that is wrong.
+        All errors of the patch.
     """
 
     problems: list[Problem]
@@ -75,16 +75,17 @@
 
 @dataclass(slots=True)
 class StalePatch:
-    """The base is not the current number; nothing was changed.
+    """Result for a patch whose base is not the current version; nothing was changed.
 
     Attributes
     ----------
     number : int
-        Current number.
+        Current version number.
     changes : list of Change
-        What changed since the base, and by whom, as far as it is remembered.
+        Changes since the base that are in the history.
     effect : list of str
-        All changes since the base in words; empty where it is forgotten.
+        Descriptions of all changes since the base; empty if the base is no longer in
+        the history.
     """
 
     number: int
@@ -94,14 +95,14 @@
 
 @dataclass(slots=True)
 class NeedsConfirm:
-    """The patch takes something away and must be confirmed by name.
+    """Result for a patch with losses that must be confirmed by name.
 
     Attributes
     ----------
     dangers : list of Danger
-        What is lost and was not confirmed.
+        Losses that were not confirmed.
     effect : list of str
-        What it would change, in words.
+        Descriptions of what the patch would change.
     """
 
     dangers: list[Danger]
@@ -110,14 +111,14 @@
 
 @dataclass(slots=True)
 class StoreConflict:
-    """The store holds less or something else than what is in force here.
+    """Result for a store that lacks the current version of this node.
 
     Attributes
     ----------
     stored : int
-        Number in the store; 0 where the object is gone.
+        Version number in the store; 0 if the object is missing.
     in_force : int
-        Number in force.
+        Current version number of this node.
     """
 
     stored: int
@@ -126,12 +127,12 @@
 
 @dataclass(slots=True)
 class ReusedPatchId:
-    """Another patch was accepted under this id.
+    """Result for a patch id under which another patch was accepted.
 
     Attributes
     ----------
     number : int
-        Number that the other one made.
+        Version number that the other patch created.
     """
 
     number: int
@@ -139,12 +140,12 @@
 
 @dataclass(slots=True)
 class StoreUnavailable:
-    """The store does not answer; the patch was surely not written.
+    """Result for an unreachable store; the patch was certainly not written.
 
     Attributes
     ----------
     reason : str
-        What came of the call.
+        Why the call failed.
     """
 
     reason: str
@@ -152,19 +153,19 @@
 
 @dataclass(slots=True)
 class DamagedObject:
-    """The store's object is no configuration; nothing was changed."""
+    """Result for a stored object that is not a configuration; nothing was changed."""
 
 
 @dataclass(slots=True)
 class PatchUnknown:
-    """Nobody can tell yet whether the patch is or will be stored.
+    """Result for a patch that may or may not be stored, now or later.
 
     Attributes
     ----------
     patch_id : str
-        Id to ask again with.
+        Id for querying the result again.
     reason : str
-        Why it cannot be told.
+        Why the result is unknown.
     """
 
     patch_id: str
@@ -173,12 +174,12 @@
 
 @dataclass(slots=True)
 class NotAccepted:
-    """The patch is not stored and never will be.
+    """Result for a patch that is not stored and can no longer be accepted.
 
     Attributes
     ----------
     number : int
-        Current number.
+        Current version number.
     """
 
     number: int
--- a/src/rosemaryknot/version/tables.py
+++ b/src/rosemaryknot/version/tables.py
@@ -1,4 +1,4 @@
-"""The entries of the configuration's derived tables."""
+"""Entries of the tables that are derived from a configuration document."""
 
 import math
 from collections.abc import Mapping
@@ -21,20 +21,20 @@
 
 MODEL_TIMEOUT_S = 600.0
 PLAIN_TIMEOUT_S = 10.0
-AMBIGUOUS = ("//", "/./", "/../", "%2e", "%2f", "%5c", "\\", ";")
-"""Parts by which a path may mean another one to the backend server than to us."""
+AMBIGUOUS_PATH_PARTS = ("//", "/./", "/../", "%2e", "%2f", "%5c", "\\", ";")
+"""Parts of a path that a backend server may normalize to another path."""
 
 
 @dataclass(slots=True, frozen=True)
 class LatencyTargets:
-    """Latency that a model service aims at.
+    """Latency targets of a model service.
 
     Attributes
     ----------
     first_token_ms : float
-        From the arrival of a request to its first token.
+        Time from the arrival of a request to its first token.
     between_tokens_ms : float
-        Between two tokens of one answer.
+        Time between two tokens of one response.
     """
 
     first_token_ms: float = 2000.0
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True, frozen=True)
 class AtMostOnce:
-    """How requests that are not idempotent are kept from running twice.
+    """Settings that prevent non-idempotent requests from running twice.
 
     Attributes
     ----------
     form : str
-        ``shards`` or ``objects``.
+        Form of at-most-once execution: ``shards`` or ``objects``.
     answer_horizon_s : float
-        How long an id and its answer are kept, in seconds.
+        Retention period of a request id and its response, in seconds.
     """
 
     form: str = "shards"
@@ -59,21 +59,21 @@
 
 @dataclass(slots=True, frozen=True)
 class IdempotentRule:
-    """Requests of a plain service that may be repeated.
+    """Rule for requests of a plain service that may be repeated.
 
     Attributes
     ----------
     method : str
-        HTTP method in capitals.
+        HTTP method in upper case.
     path : str
-        Prefix of the path, matched by whole segments.
+        Path prefix, matched by complete segments.
     """
 
     method: str
     path: str
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether a request falls under the rule.
+        """Return whether the rule matches a request.
 
         Parameters
         ----------
@@ -85,7 +85,7 @@
         Returns
         -------
         matches : bool
-            False for a path that the backend server may read in another way.
+            False for a path that the backend server may normalize to another path.
 
         Examples
         --------
@@ -100,10 +100,10 @@
         bare = path.partition("?")[0]
         if method.upper() != self.method:
             return False
-        # A rule for /stock must not let /stock/../slots run twice: a path that the
-        # backend server may normalise into another one is never idempotent.
+        # A rule for /stock must not let /stock/../slots run twice, so a path that the
+        # backend server may normalize to another one is never idempotent.
         lowered = bare.lower() + "/"
-        if any(part in lowered for part in AMBIGUOUS):
+        if any(part in lowered for part in AMBIGUOUS_PATH_PARTS):
             return False
         prefix = self.path.rstrip("/")
         return bare == prefix or bare.startswith(prefix + "/")
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """One service.
+    """Settings of a service.
 
     Attributes
     ----------
@@ -120,25 +120,25 @@
     kind : str
         ``model`` or ``plain``.
     timeout_s : float
-        Bound on one request, in seconds.
+        Time limit of one request, in seconds.
     step_time_ms : float
-        Time of one engine step.
+        Duration of one engine step, in milliseconds.
     max_tokens : int
-        Most tokens of one answer.
+        Maximum number of tokens of one response.
     standby_min_tokens : int
-        Answers at least this long are copied to a standby.
+        Minimum length of a response that is replicated to a standby, in tokens.
     latency : LatencyTargets
-        Latency aimed at.
+        Latency targets.
     checks_fencing : bool
-        Whether its backend servers refuse an old fencing number.
+        Whether its backend servers reject an outdated fencing token.
     moves_kv : bool
-        Whether its engines export and import KV cache.
+        Whether its engines export and import KV cache entries.
     route_policy : str
         Name of a registered route policy.
     idempotent : tuple of IdempotentRule
         Requests of a plain service that may be repeated.
     at_most_once : AtMostOnce
-        How all others are kept from running twice.
+        Settings that prevent all other requests from running twice.
     """
 
     name: str
@@ -156,11 +156,11 @@
 
     @property
     def is_model(self) -> bool:
-        """Whether it serves a language model."""
+        """Whether the service is a language model."""
         return self.kind == "model"
 
     def is_idempotent(self, method: str, path: str) -> bool:
-        """Tell whether a request of a plain service may be repeated.
+        """Return whether a request of a plain service may be repeated.
 
         Parameters
         ----------
@@ -172,21 +172,21 @@
         Returns
         -------
         is_idempotent : bool
-            True where one of the rules matches.
+            True if one of the rules matches.
         """
         return any(rule.matches(method, path) for rule in self.idempotent)
 
 
 @dataclass(slots=True, frozen=True)
 class Limit:
-    """What one customer may use of one service.
+    """Limits of one customer on one service.
 
     Attributes
     ----------
     tokens_per_minute : float
-        Prompt and answer tokens; infinite where not limited.
+        Prompt and completion tokens; infinite if not limited.
     concurrent_requests : float
-        Requests at once; infinite where not limited.
+        Number of concurrent requests; infinite if not limited.
     """
 
     tokens_per_minute: float = math.inf
@@ -198,7 +198,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Customer:
-    """One customer.
+    """Customer with its limits.
 
     Attributes
     ----------
@@ -212,18 +212,18 @@
     limits: Mapping[str, Limit] = field(default_factory=dict)
 
     def limit_for(self, service: str) -> Limit:
-        """Return the limit for a service; without an entry there is none."""
+        """Return the limit for a service, unlimited if there is no entry."""
         return self.limits.get(service, UNLIMITED)
 
 
 @dataclass(slots=True, frozen=True)
 class Operator:
-    """One operator.
+    """Authenticated operator.
 
     Attributes
     ----------
     name : str
-        Name, as the history gives it.
+        Name that the history shows.
     role : str
         ``viewer`` or ``editor``.
     """
@@ -233,24 +233,24 @@
 
     @property
     def may_patch(self) -> bool:
-        """Whether the operator may change anything."""
+        """Whether the operator may change the configuration."""
         return self.role == "editor"
 
 
 @dataclass(slots=True, frozen=True)
 class Placement:
-    """Backend servers wanted for one service in one zone.
+    """Placement target of one service in one zone.
 
     Attributes
     ----------
     count : int
-        Instances wanted.
+        Requested number of instances.
     classes : tuple of str
         Machine classes that may be started; empty allows all.
     reclaimable_share : float
-        Largest share of reclaimable instances, 0 to 1.
+        Maximum share of reclaimable instances, 0 to 1.
     price_ceiling_per_hour : float
-        Highest price of one instance; infinite where not limited.
+        Maximum price of one instance; infinite if not limited.
     """
 
     count: int
@@ -261,13 +261,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """Rules of the configuration as a whole.
+    """Rules that apply to the entire configuration.
 
     Attributes
     ----------
     max_capacity_change_share : float
-        A patch that takes away a larger share of a service's instances needs to be
-        confirmed.
+        Share of a service's instances; a patch that removes more must be confirmed.
     """
 
     max_capacity_change_share: float = 0.5
@@ -275,16 +274,16 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyEntry:
-    """A stored API key.
+    """Stored API key.
 
     Attributes
     ----------
     salt : bytes
-        Goes before the secret.
+        Salt that precedes the secret in the digest.
     sha256 : str
         Digest of salt and secret, in hex.
     customer, operator, role : str
-        Whose key it is; empty where not given.
+        Owner of the key and the operator's role; empty if not given.
     """
 
     salt: bytes
--- a/src/rosemaryknot/version/undo.py
+++ b/src/rosemaryknot/version/undo.py
@@ -1,21 +1,21 @@
-"""Undo of an earlier change as a new patch."""
+"""Reverting an earlier change by a new patch."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
 from rosemaryknot.version.stored import Change, StoredConfiguration
 
-__all__ = ["Forgotten", "Overlap", "UndoPatch", "undo_patch"]
+__all__ = ["NotInHistory", "Overlap", "UndoPatch", "undo_patch"]
 
 
 @dataclass(slots=True)
 class UndoPatch:
-    """Operations that take a change back.
+    """Operations that revert a change.
 
     Attributes
     ----------
     base : int
-        Number that they apply to.
+        Version number that they apply to.
     operations : list of dict
         JSON Patch.
     """
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True)
 class Overlap:
-    """A later change touches the same place and would be taken back as well.
+    """Result if a later change of the same path would be reverted as well.
 
     Attributes
     ----------
     number : int
-        Number of the later change.
+        Version number that the later change created.
     path : str
-        The place.
+        JSON Pointer to the common path.
     """
 
     number: int
@@ -41,64 +41,68 @@
 
 
 @dataclass(slots=True)
-class Forgotten:
-    """The change is no longer remembered, or there never was one."""
+class NotInHistory:
+    """Result if the history does not contain the change, or not in full."""
 
 
-def touched(operations: Iterable[dict] | None) -> list[tuple[str, ...]]:
-    """Return the places that operations change, lists as a whole.
+def changed_paths(operations: Iterable[dict] | None) -> list[tuple[str, ...]]:
+    """Return the paths that operations change, truncated at the first list index.
 
-    An index into a list means another element after each insertion, so everything
-    from the index on counts as the list itself.
+    After an insertion an index refers to another element, so a change of a list element
+    counts as a change of the entire list.
     """
-    places = []
+    paths = []
     for operation in operations or ():
         for key in ("path", "from"):
             if key not in operation:
                 continue
-            parts = operation[key].split("/")[1:]
-            ends = (i for i, part in enumerate(parts) if part.isdigit() or part == "-")
-            places.append(tuple(parts[: next(ends, len(parts))]))
-    return places
-
-
-def overlap_of(
-    ours: Sequence[tuple[str, ...]], theirs: Sequence[tuple[str, ...]]
+            segments = operation[key].split("/")[1:]
+            ends = (
+                i
+                for i, segment in enumerate(segments)
+                if segment.isdigit() or segment == "-"
+            )
+            paths.append(tuple(segments[: next(ends, len(segments))]))
+    return paths
+
+
+def overlapping_path(
+    paths: Sequence[tuple[str, ...]], other_paths: Sequence[tuple[str, ...]]
 ) -> str | None:
-    """Return a place that both touch, or None."""
-    for mine in ours:
-        for other in theirs:
-            length = min(len(mine), len(other))
-            if mine[:length] == other[:length]:
-                return "/" + "/".join(mine)
+    """Return a path that both change, or None."""
+    for path in paths:
+        for other in other_paths:
+            length = min(len(path), len(other))
+            if path[:length] == other[:length]:
+                return "/" + "/".join(path)
     return None
 
 
 def undo_patch(
     stored: StoredConfiguration, number: int
-) -> UndoPatch | Overlap | Forgotten:
-    """Return the patch that takes one change back and leaves all others.
+) -> UndoPatch | Overlap | NotInHistory:
+    """Return the patch that reverts one change and preserves all others.
 
     Parameters
     ----------
     stored : StoredConfiguration
         Current version with its history.
     number : int
-        Number that the change made.
+        Version number that the change created.
 
     Returns
     -------
-    patch : UndoPatch or Overlap or Forgotten
-        The patch, or why there is none.
+    patch : UndoPatch or Overlap or NotInHistory
+        The patch, or the reason why the change cannot be reverted.
     """
     change: Change | None = stored.change(number)
     if change is None or change.undo is None:
-        return Forgotten()
-    places = touched(change.undo)
+        return NotInHistory()
+    paths = changed_paths(change.undo)
     for later in stored.changes_since(number):
         if later.undo is None:
-            return Forgotten()
-        path = overlap_of(places, touched(later.undo))
+            return NotInHistory()
+        path = overlapping_path(paths, changed_paths(later.undo))
         if path is not None:
             return Overlap(later.number, path)
     return UndoPatch(stored.number, change.undo)
--- a/src/rosemaryknot/version/view.py
+++ b/src/rosemaryknot/version/view.py
@@ -1,7 +1,7 @@
-"""The derived tables of one version of the configuration.
+"""Immutable view of one configuration version, with its derived tables.
 
-A view is made once for each version and never changes, so a request that took one
-at its start sees a single version throughout.
+A view is created once for each version and never modified. A request that obtains a
+view when it starts therefore uses a single version throughout.
 """
 
 from collections.abc import Mapping
@@ -10,7 +10,7 @@
 from typing import Any
 
 from rosemaryknot.values.configuration import document_digest
-from rosemaryknot.version.keys import new_key, new_operator_key, proven_entry
+from rosemaryknot.version.keys import new_key, new_operator_key, verified_entry
 from rosemaryknot.version.tables import (
     MODEL_TIMEOUT_S,
     PLAIN_TIMEOUT_S,
@@ -42,10 +42,10 @@
 ]
 
 
-def service_of(name: str, raw: Mapping[str, Any]) -> Service:
-    """Make a service of its part of the document."""
+def parse_service(name: str, raw: Mapping[str, Any]) -> Service:
+    """Create a service from its section of the document."""
     kind = raw["kind"]
-    known = {
+    given = {
         key: raw[key]
         for key in (
             "step_time_ms",
@@ -71,21 +71,21 @@
         at_most_once=AtMostOnce(
             **known_fields(AtMostOnce, raw.get("at_most_once", {}))
         ),
-        **known,
+        **given,
     )
 
 
 def known_fields(cls: type, raw: Mapping[str, Any]) -> dict[str, Any]:
     """Return the entries that are fields of a class.
 
-    A newer release may have added others: a version that an operator's newer agent
-    accepted must still come into force on the nodes that are not upgraded yet.
+    Other entries may come from a newer release: a version that was accepted by an
+    upgraded agent must also be applied by nodes that are not upgraded yet.
     """
     return {key: value for key, value in raw.items() if key in cls.__slots__}
 
 
-def customer_of(name: str, raw: Mapping[str, Any]) -> Customer:
-    """Make a customer of its part of the document."""
+def parse_customer(name: str, raw: Mapping[str, Any]) -> Customer:
+    """Create a customer from its section of the document."""
     limits = {
         service: Limit(**known_fields(Limit, limit))
         for service, limit in raw.get("limits", {}).items()
@@ -93,15 +93,15 @@
     return Customer(name, MappingProxyType(limits))
 
 
-def placement_of(raw: Mapping[str, Any]) -> Placement:
-    """Make a placement of its part of the document."""
+def parse_placement(raw: Mapping[str, Any]) -> Placement:
+    """Create a placement from its section of the document."""
     values = known_fields(Placement, raw)
     values["classes"] = tuple(values.get("classes", ()))
     return Placement(**values)
 
 
-def key_of(raw: Mapping[str, Any]) -> KeyEntry:
-    """Make a stored key of its part of the document."""
+def parse_key(raw: Mapping[str, Any]) -> KeyEntry:
+    """Create a key entry from its section of the document."""
     values = known_fields(KeyEntry, raw)
     values["salt"] = bytes.fromhex(values["salt"])
     return KeyEntry(**values)
@@ -109,16 +109,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationView:
-    """One version of the configuration.
+    """Immutable view of one version of the configuration.
 
     Attributes
     ----------
     number : int
-        Version.
+        Version number.
     digest : str
         Digest of the document.
     document : Mapping
-        The document itself; not to be changed.
+        Configuration document; must not be modified.
     services : Mapping of str to Service
         Services by name.
     placements : Mapping of str to Mapping of str to Placement
@@ -128,7 +128,7 @@
     keys : Mapping of str to KeyEntry
         Stored keys by key id.
     rules : Rules
-        Rules of the whole.
+        Rules that apply to the entire configuration.
     """
 
     number: int
@@ -142,42 +142,41 @@
 
     @classmethod
     def from_document(cls, number: int, document: dict) -> "ConfigurationView":
-        """Derive the tables of a document.
+        """Create the view of a document.
 
         Parameters
         ----------
         number : int
-            Version.
+            Version number.
         document : dict
-            Configuration document; fields that this release does not know are
-            ignored.
+            Configuration document; unknown fields are ignored.
 
         Returns
         -------
         view : ConfigurationView
-            The tables.
+            View with the derived tables.
 
         Raises
         ------
         ValueError, KeyError, TypeError, AttributeError
-            If the document is not of the expected form.
+            If the document does not have the expected form.
         """
         raw_placements = document.get("placements", {})
         placements = {
             service: MappingProxyType(
-                {zone: placement_of(raw) for zone, raw in zones.items()}
+                {zone: parse_placement(raw) for zone, raw in zones.items()}
             )
             for service, zones in raw_placements.items()
         }
         services = {
-            name: service_of(name, raw)
+            name: parse_service(name, raw)
             for name, raw in document.get("services", {}).items()
         }
         customers = {
-            name: customer_of(name, raw)
+            name: parse_customer(name, raw)
             for name, raw in document.get("customers", {}).items()
         }
-        keys = {name: key_of(raw) for name, raw in document.get("keys", {}).items()}
+        keys = {name: parse_key(raw) for name, raw in document.get("keys", {}).items()}
         return cls(
             number=number,
             digest=document_digest(document),
@@ -190,7 +189,7 @@
         )
 
     def customer_for_key(self, api_key: str) -> Customer | None:
-        """Return the customer whose API key it is.
+        """Return the customer that an API key belongs to.
 
         Parameters
         ----------
@@ -200,14 +199,14 @@
         Returns
         -------
         customer : Customer or None
-            None for a wrong key and for an operator's.
+            None for an invalid key and for an operator's key.
         """
-        entry = proven_entry(self.keys, api_key)
+        entry = verified_entry(self.keys, api_key)
         return None if entry is None else self.customers.get(entry.customer)
 
     def operator_for_key(self, api_key: str) -> Operator | None:
-        """Return the operator whose API key it is, or None."""
-        entry = proven_entry(self.keys, api_key)
+        """Return the operator that an API key belongs to, or None."""
+        entry = verified_entry(self.keys, api_key)
         if entry is None or not entry.operator:
             return None
         return Operator(entry.operator, entry.role)
--- a/src/rosemaryknot/version/watch.py
+++ b/src/rosemaryknot/version/watch.py
@@ -1,4 +1,4 @@
-"""Watch of the stored configuration by a few nodes of each zone."""
+"""Watch on the stored configuration, held by a few nodes of each zone."""
 
 import random
 from typing import Any
@@ -12,17 +12,17 @@
 from rosemaryknot.process.logs import logger
 from rosemaryknot.process.metrics import gauge
 from rosemaryknot.version.store import KIND, NAME, ConfigurationStore
-from rosemaryknot.version.stored import StoredConfiguration, read_stored
+from rosemaryknot.version.stored import StoredConfiguration, parse_stored
 from rosemaryknot.version.submission import DamagedObject
 
 __all__ = ["ConfigurationWatcher"]
 
-WATCHERS = 3
-POLL_S = 2.0
-CHOICE_S = 1.0
-RENEWAL_S = 60.0
-FIRST_PAUSE_S = 0.25
-LONGEST_PAUSE_S = 2.0
+WATCHERS_PER_ZONE = 3
+POLL_INTERVAL_S = 2.0
+SELECTION_INTERVAL_S = 1.0
+WATCH_RENEWAL_S = 60.0
+INITIAL_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 2.0
 
 ROLLED_BACK = gauge(
     "configuration_store_rolled_back",
@@ -37,24 +37,24 @@
 
 
 class ConfigurationWatcher:
-    """Takes new versions from the store where this node is chosen to.
+    """Applies new versions from the store if this node is selected as a watcher.
 
-    Some nodes of each zone hold a watch; the first of them also reads the object
-    now and then, since a watch can lose an event without a sign.
+    Up to `WATCHERS_PER_ZONE` nodes of each zone hold a watch. The first of them also
+    polls the object, since a watch can lose an event without an error.
 
     Parameters
     ----------
     store : ConfigurationStore
-        The store, with the holder.
+        Store of the configuration, with the holder of the current version.
     distributor : ConfigurationDistributor
-        Exchange with the peers, which is asked before the store.
+        Distributor that queries the peers before the store is read.
     rng : random.Random, optional
-        Source of jitter.
+        Random source for jitter.
 
     Attributes
     ----------
     is_rolled_back : bool
-        Whether the store was last seen with an older version than ours.
+        Whether the last read returned an older version than the current one.
     """
 
     def __init__(
@@ -70,97 +70,105 @@
         self.is_rolled_back = False
 
     async def run(self) -> None:
-        """Watch until cancelled, once the peers were asked."""
+        """Watch until cancelled, after the peers have been queried."""
         await self.distributor.peers_queried.wait()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.watch)
             nursery.start_soon(self.poll)
 
-    def rank(self) -> int:
-        """Return this node's place among its zone's watchers; 0 polls as well."""
+    def watcher_index(self) -> int:
+        """Return this node's index in its zone's order of watchers; 0 also polls."""
         node = self.distributor.node
         zone = [n for n in self.distributor.peers.nodes() if n.zone == node.zone]
         names = [n.name for n in select_nodes([*zone, node], KIND, len(zone) + 1)]
         return names.index(node.name)
 
     async def watch(self) -> None:
-        """Hold a watch while chosen, and replace it when it ends."""
-        pause_s = FIRST_PAUSE_S
+        """Hold a watch while selected, and replace it when it ends."""
+        backoff_s = INITIAL_BACKOFF_S
         while True:
-            if self.rank() >= WATCHERS:
-                await trio.sleep(CHOICE_S)
+            if self.watcher_index() >= WATCHERS_PER_ZONE:
+                await trio.sleep(SELECTION_INTERVAL_S)
                 continue
-            heard = await self.watch_once()
-            pause_s = FIRST_PAUSE_S if heard else min(2 * pause_s, LONGEST_PAUSE_S)
-            await trio.sleep(pause_s * self.rng.uniform(0.5, 1.0))
+            event_count = await self.watch_once()
+            backoff_s = (
+                INITIAL_BACKOFF_S if event_count else min(2 * backoff_s, MAX_BACKOFF_S)
+            )
+            await trio.sleep(backoff_s * self.rng.uniform(0.5, 1.0))
 
     async def watch_once(self) -> int:
-        """Follow one watch to its end; return how many changes it told of.
+        """Hold one watch until it ends, and return the number of events received.
 
-        A watch that goes silent ends by its idle bound. Each new one starts with a
-        list, so it does not matter what the old one missed.
+        A silent watch ends by its idle timeout. Each new watch starts with a list of
+        all objects, so events that the previous one missed do not matter.
         """
-        heard = 0
+        event_count = 0
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.end_watch, nursery.cancel_scope)
             async with self.store.platform.watch(KIND) as watch:
                 async for change in watch:
-                    heard += 1
+                    event_count += 1
                     if change.name == NAME and change.value is not None:
-                        self.take(change.value, change.version)
+                        self.apply_stored(change.value, change.version)
                 if watch.ended:
-                    log.info(f"the watch ended: {watch.ended}")
+                    log.info(f"configuration watch ended: {watch.ended}")
             nursery.cancel_scope.cancel()
-        return heard
+        return event_count
 
     async def end_watch(self, scope: trio.CancelScope) -> None:
-        """End the watch when it is due for renewal, or this node not chosen any more.
+        """End the watch when it is due for renewal or this node is no longer selected.
 
-        Without this every node of a starting zone, which sees no peers yet, would
-        keep its watch, and each counts as a call of the platform's.
+        When a zone starts, no node knows its peers yet and every node selects itself.
+        Without this check all of them would keep their watches, and each watch counts
+        as a call to the platform.
         """
-        renewal = trio.current_time() + RENEWAL_S * self.rng.uniform(0.8, 1.2)
-        while trio.current_time() < renewal and self.rank() < WATCHERS:
-            await trio.sleep(CHOICE_S)
+        renewal_s = trio.current_time() + WATCH_RENEWAL_S * self.rng.uniform(0.8, 1.2)
+        while (
+            trio.current_time() < renewal_s and self.watcher_index() < WATCHERS_PER_ZONE
+        ):
+            await trio.sleep(SELECTION_INTERVAL_S)
         scope.cancel()
 
-    def take(self, value: Any, version: int) -> None:
-        """Put a watched version into force where it is newer."""
-        stored = read_stored(value, version)
+    def apply_stored(self, value: Any, version: int) -> None:
+        """Apply a version from the watch if it is newer than the current one."""
+        stored = parse_stored(value, version)
         DAMAGED.set(int(stored is None))
         if stored is not None:
             self.holder.apply_push(stored.push, "store")
         else:
-            log.error("the store's object is no configuration, not taken")
+            log.error("stored object is not a valid configuration; ignored")
 
     async def poll(self) -> None:
-        """Read the object now and then while first among the zone's watchers."""
+        """Poll the object while this node is the first watcher of its zone."""
         while True:
-            if self.rank() == 0 or self.holder.view is None:
+            if self.watcher_index() == 0 or self.holder.view is None:
                 await self.poll_once()
-            await trio.sleep(POLL_S * self.rng.uniform(0.8, 1.2))
+            await trio.sleep(POLL_INTERVAL_S * self.rng.uniform(0.8, 1.2))
 
     async def poll_once(self) -> None:
-        """Read the object, take what is newer and notice what is older."""
-        # Only what was in force before the read was sent must be in the answer; a
-        # version that came meanwhile from a peer is no sign of a rollback.
-        before = self.holder.number
+        """Read the object, apply a newer version and record an older one."""
+        # The response must include the version that was current before the read was
+        # sent. A version that a peer sends meanwhile does not indicate a rollback.
+        number_before = self.holder.number
         stored = await self.store.read()
         if isinstance(stored, DamagedObject):
             DAMAGED.set(1)
-            log.error("the store's object is no configuration, not taken")
+            log.error("stored object is not a valid configuration; ignored")
         if not isinstance(stored, StoredConfiguration):
             return
         DAMAGED.set(0)
-        self.note_rollback(stored.number, before)
+        self.record_rollback(stored.number, number_before)
         if stored.number:
             self.holder.apply_push(stored.push, "store")
 
-    def note_rollback(self, stored: int, before: int) -> None:
-        """Raise or clear the alarm for a store that holds less than it did."""
-        was, self.is_rolled_back = self.is_rolled_back, stored < before
+    def record_rollback(self, stored: int, number_before: int) -> None:
+        """Raise or clear the alarm for a store with an older version than before."""
+        was_active, self.is_rolled_back = self.is_rolled_back, stored < number_before
         ROLLED_BACK.set(int(self.is_rolled_back))
-        if self.is_rolled_back and not was:
-            log.error(f"the store went back to {stored}, {before} stays in force")
-        if was and not self.is_rolled_back:
-            log.info(f"the store holds {stored} again")
+        if self.is_rolled_back and not was_active:
+            log.error(
+                f"store rolled back to configuration {stored};"
+                f" configuration {number_before} stays active"
+            )
+        if was_active and not self.is_rolled_back:
+            log.info(f"rollback of the store resolved: it holds configuration {stored}")
--- a/tests/connection/test_connection_bound.py
+++ b/tests/connection/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on callers' connections."""
+"""Tests for the limit on the number of caller connections."""
 
 import pytest
 import trio
@@ -26,13 +26,13 @@
     return network
 
 
-class TestConnectionBound:
-    async def test_connections_without_end(self, nursery, autojump_clock):
-        """One caller holds all connections there are and sends nothing on them.
+class TestConnectionLimit:
+    async def test_unlimited_connections(self, nursery, autojump_clock):
+        """One caller holds all allowed connections open and sends nothing on them.
 
-        Another one's request is refused with an answer and comes through once a
-        connection has ended. Without the bound each of them would be taken, until
-        the process has no memory or files left for anybody.
+        The request of another caller is refused with a response, and succeeds once a
+        connection has ended. Without the limit, every connection would be accepted
+        until the process runs out of memory or file descriptors.
         """
         network = await serve(nursery, 2)
         held = [await network.dial(SERVER) for _ in range(2)]
@@ -40,21 +40,24 @@
             refused = await caller.post(URL, content=b"x" * 200_000)
             await held[0].aclose()
             await trio.sleep(0.1)
-            taken = await caller.get(URL)
+            accepted = await caller.get(URL)
         assert refused.status_code == 503
         assert refused.json()["outcome"] == "not_run"
         assert refused.headers["Retry-After"] == "1"
-        assert taken.text == "whole"
+        assert accepted.text == "whole"
 
     @pytest.mark.parametrize(
         ("attempt", "status", "outcome"),
         [(None, 504, "unknown"), ("1", 503, "not_run"), ("2", 504, "unknown")],
     )
-    async def test_booking(self, nursery, autojump_clock, attempt, status, outcome):
-        """A booking's first send may have run; its repeat finds no connection.
+    async def test_retry_of_non_idempotent_request(
+        self, nursery, autojump_clock, attempt, status, outcome
+    ):
+        """A non-idempotent request is refused because no connection is free.
 
-        "Not run" would be a lie about the booking then, and its caller would book
-        again under a new key. Only a declared first attempt cannot have run.
+        If it is a retry, an earlier attempt may have run. After "not run", the caller
+        would send the request again under a new idempotency key, and it would run
+        twice. Only a declared first attempt cannot have run.
         """
         network = await serve(nursery, 1)
         held = await network.dial(SERVER)
@@ -62,12 +65,12 @@
         if attempt is not None:
             headers["Rosemaryknot-Attempt"] = attempt
         async with http_client(network, None) as caller:
-            answer = await caller.post(URL, headers=headers)
+            response = await caller.post(URL, headers=headers)
         await held.aclose()
-        assert (answer.status_code, answer.json()["outcome"]) == (status, outcome)
+        assert (response.status_code, response.json()["outcome"]) == (status, outcome)
 
-    async def test_refusals_are_bounded_too(self, nursery, autojump_clock):
-        """Connections beyond the bound that send nothing end within a second."""
+    async def test_concurrent_refusals_are_limited(self, nursery, autojump_clock):
+        """Connections beyond the limit that send nothing are closed within a second."""
         network = await serve(nursery, 1)
         streams = [await network.dial(SERVER) for _ in range(300)]
         await trio.sleep(1.5)
--- a/tests/connection/test_http_client.py
+++ b/tests/connection/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client over our network."""
+"""Tests for the HTTP client over a `Network`."""
 
 import trio
 from quart_trio import QuartTrio
@@ -13,7 +13,7 @@
 
 
 async def call_twice(nursery, network, address):
-    """Call a server, let it close the idle connection, and call again."""
+    """Call a server twice; it closes the idle connection between the calls."""
     app = QuartTrio("test")
 
     @app.get("/")
@@ -33,15 +33,16 @@
 class TestClosedIdleConnection:
     """A server closes an idle connection; the next request must not be lost on it.
 
-    The client keeps connections. Without a look at the stream it writes the request
-    on the closed one and gets "server disconnected", which reads like a lost answer.
+    The client pools connections. If it does not check the stream before reuse, it
+    writes the request to the closed connection and gets "server disconnected", which
+    cannot be distinguished from a lost response.
     """
 
     async def test_in_memory(self, nursery, autojump_clock):
         network = MemoryNetwork("10.0.0.1")
-        answers = await call_twice(nursery, network, Address("10.0.0.1", 80))
-        assert answers == ("whole", "whole")
+        responses = await call_twice(nursery, network, Address("10.0.0.1", 80))
+        assert responses == ("whole", "whole")
 
     async def test_on_sockets(self, nursery):
-        answers = await call_twice(nursery, SocketNetwork(), Address("127.0.0.1", 0))
-        assert answers == ("whole", "whole")
+        responses = await call_twice(nursery, SocketNetwork(), Address("127.0.0.1", 0))
+        assert responses == ("whole", "whole")
--- a/tests/connection/test_links.py
+++ b/tests/connection/test_links.py
@@ -1,4 +1,4 @@
-"""Message links: proof of the cluster key, bounds, and peers of a newer release."""
+"""Tests for message links: handshake, limits, and peers of other releases."""
 
 import hashlib
 import hmac
@@ -32,7 +32,7 @@
 @message("test_question")
 @dataclass(slots=True)
 class Question(Message):
-    """A call of these tests."""
+    """A call that is handled in these tests."""
 
     kind: ClassVar[str]
     text: str
@@ -40,8 +40,8 @@
 
 @message("test_unheard")
 @dataclass(slots=True)
-class Unheard(Message):
-    """A call that nobody handles."""
+class UnhandledCall(Message):
+    """A call without a handler."""
 
     kind: ClassVar[str]
 
@@ -50,7 +50,7 @@
     return Hello(name, "waco-a", 1, "agent", b"")
 
 
-def answering() -> Handlers:
+def handlers_with_reply() -> Handlers:
     handlers = Handlers()
 
     @handlers.on(Question)
@@ -61,29 +61,29 @@
 
 
 class Acceptor:
-    """One accepting end, which keeps what became of its link."""
+    """The accepting end, which records its link and why links closed."""
 
     def __init__(self, handlers: Handlers) -> None:
         self.network = MemoryNetwork("127.0.0.2")
         self.handlers = handlers
         self.link: MessageLink | None = None
-        self.ends: list[str] = []
+        self.close_reasons: list[str] = []
 
     async def accept(self, stream: trio.abc.HalfCloseableStream) -> None:
         try:
             self.link = await accept_link(stream, KEY, hello("b"), self.handlers)
         except LinkClosed as error:
-            self.ends.append(str(error))
+            self.close_reasons.append(str(error))
             return
-        self.ends.append(await self.link.run())
+        self.close_reasons.append(await self.link.run())
 
     async def dial(self, nursery: trio.Nursery) -> trio.abc.HalfCloseableStream:
         await nursery.start(self.network.listen, ADDRESS, self.accept)
         return await self.network.with_host("127.0.0.1").dial(ADDRESS)
 
 
-def incompressible(size: int) -> str:
-    """Return a text that takes at least a byte a character on a link."""
+def incompressible_text(size: int) -> str:
+    """Return a random text that compression does not make shorter."""
     return random.Random(1).randbytes(size).decode("latin-1")
 
 
@@ -98,8 +98,10 @@
     return data[4:]
 
 
-async def opened(nursery: trio.Nursery, stream, key: bytes = KEY) -> MessageLink:
-    """Make the dialling end's link, and run it."""
+async def open_running_link(
+    nursery: trio.Nursery, stream, key: bytes = KEY
+) -> MessageLink:
+    """Establish the link of the dialling end, and run it."""
     link = await open_link(stream, key, hello("a"), Handlers())
     nursery.start_soon(link.run)
     return link
@@ -107,13 +109,13 @@
 
 class TestHello:
     async def test_newer_release_with_an_unknown_field(self, autojump_clock):
-        """An upgraded node cannot join the nodes that are not upgraded yet.
+        """An upgraded node connects to a node that is not upgraded yet.
 
-        Its hello carries a field that they do not know. They drop the field when
-        they decode it, and a proof that is compared with the hello encoded again
-        fails: half-way through an upgrade the fleet falls into two parts.
+        Its hello has a field that the older node does not know and drops. If the proof
+        were computed over the hello as encoded again, it would differ, and old and new
+        nodes could not connect during an upgrade.
         """
-        acceptor = Acceptor(answering())
+        acceptor = Acceptor(handlers_with_reply())
         async with trio.open_nursery() as nursery:
             stream = await acceptor.dial(nursery)
             body = dict(name="a", zone="waco-a", incarnation=1, role="agent")
@@ -126,32 +128,33 @@
             proof = msgpack.packb(["proof", 0, 0, {"mac": mac}])
             await stream.send_all(raw_frame(proof))
             await trio.sleep(1)
-            assert acceptor.ends == []
+            assert acceptor.close_reasons == []
             assert acceptor.link.hello.name == "a"
             nursery.cancel_scope.cancel()
 
     async def test_wrong_key(self, autojump_clock):
         """A process without the cluster key gets no link, and its calls are not read.
 
-        Both ends say so at once, so that a wrong setting is found at the start.
+        Both ends report the failure immediately, so that a wrong setting is detected
+        at startup.
         """
-        acceptor = Acceptor(answering())
+        acceptor = Acceptor(handlers_with_reply())
         async with trio.open_nursery() as nursery:
             stream = await acceptor.dial(nursery)
             with pytest.raises(LinkClosed, match="wrong cluster key"):
-                await opened(nursery, stream, b"another key")
+                await open_running_link(nursery, stream, b"another key")
             await stream.aclose()
             await trio.sleep(0.1)
             assert acceptor.link is None
-            assert len(acceptor.ends) == 1
+            assert len(acceptor.close_reasons) == 1
             nursery.cancel_scope.cancel()
 
-    async def test_says_nothing(self, autojump_clock):
-        acceptor = Acceptor(answering())
+    async def test_peer_sends_no_hello(self, autojump_clock):
+        acceptor = Acceptor(handlers_with_reply())
         async with trio.open_nursery() as nursery:
             await acceptor.dial(nursery)
             await trio.sleep(4)
-            assert acceptor.ends == ["no hello: TooSlowError"]
+            assert acceptor.close_reasons == ["no hello: TooSlowError"]
             nursery.cancel_scope.cancel()
 
 
@@ -170,30 +173,30 @@
     async def test_broken_frame_closes_the_link(
         self, autojump_clock, frame, reason, unreadable
     ):
-        """A peer sends no message, or one with a field missing or of a wrong type.
+        """A peer sends an invalid frame, or a message with a missing or invalid field.
 
-        A handler would fail on it and end the process. What follows in the stream
-        cannot be trusted, so the link ends, is counted, and a call that waits on it
-        fails at once instead of at its timeout.
+        A handler would fail on it and end the process. The rest of the stream cannot be
+        trusted, so the link is closed and counted, and a pending call on it fails
+        immediately instead of at its timeout.
         """
-        acceptor = Acceptor(answering())
+        acceptor = Acceptor(handlers_with_reply())
         async with trio.open_nursery() as nursery:
-            link = await opened(nursery, await acceptor.dial(nursery))
+            link = await open_running_link(nursery, await acceptor.dial(nursery))
             await link.stream.send_all(frame)
             start_s = trio.current_time()
-            answer = await link.call(Question("late"), 60)
-            assert answer == CallFailed("closed", maybe_handled=True)
+            reply = await link.call(Question("late"), 60)
+            assert reply == CallFailed("closed", maybe_handled=True)
             assert trio.current_time() - start_s < 1
             await trio.sleep(0.1)
-            assert acceptor.ends == [reason or "unreadable message"]
+            assert acceptor.close_reasons == [reason or "unreadable message"]
             assert acceptor.link.traffic.unreadable == unreadable
             nursery.cancel_scope.cancel()
 
     async def test_large_message_is_compressed(self, autojump_clock):
-        """Guards against documents that go over slow links in full size."""
-        acceptor = Acceptor(answering())
+        """Guards against sending large documents uncompressed over slow links."""
+        acceptor = Acceptor(handlers_with_reply())
         async with trio.open_nursery() as nursery:
-            link = await opened(nursery, await acceptor.dial(nursery))
+            link = await open_running_link(nursery, await acceptor.dial(nursery))
             text = "a route of many " * 10_000
             assert await link.call(Question(text), 1) == Question(text.upper())
             traffic = acceptor.link.traffic
@@ -202,10 +205,10 @@
             nursery.cancel_scope.cancel()
 
     async def test_peer_of_an_older_release_gets_plain_frames(self, autojump_clock):
-        """Guards against frames that a peer cannot read during an upgrade."""
-        acceptor = Acceptor(answering())
+        """Guards against sending frames that an older peer cannot read."""
+        acceptor = Acceptor(handlers_with_reply())
         async with trio.open_nursery() as nursery:
-            link = await opened(nursery, await acceptor.dial(nursery))
+            link = await open_running_link(nursery, await acceptor.dial(nursery))
             assert await link.call(Question("first"), 1) == Question("FIRST")
             link.hello.compression = acceptor.link.hello.compression = ""
             text = "a route of many " * 1000
@@ -214,17 +217,19 @@
             nursery.cancel_scope.cancel()
 
     async def test_newer_peer(self, autojump_clock):
-        """During an upgrade a newer peer sends kinds and fields of its release.
+        """During an upgrade, a newer peer sends unknown kinds of messages and fields.
 
-        Nothing of that may end the link: a call of a kind that is not known here
-        gets an answer which says that it was not handled.
+        They must not end the link. A call of an unknown kind gets a reply which shows
+        that it was not handled.
         """
-        acceptor = Acceptor(answering())
+        acceptor = Acceptor(handlers_with_reply())
         async with trio.open_nursery() as nursery:
-            link = await opened(nursery, await acceptor.dial(nursery))
+            link = await open_running_link(nursery, await acceptor.dial(nursery))
             unknown = msgpack.packb(["of_next_year", 0, 0, {"a": 1}])
             await link.queue_frame("of_next_year", unknown)
-            assert await link.call(Unheard(), 1) == CallFailed("unsupported", False)
+            assert await link.call(UnhandledCall(), 1) == CallFailed(
+                "unsupported", False
+            )
             body = {"text": "hi", "colour": "new"}
             newer = msgpack.packb(["test_question", 99, 0, body])
             await link.queue_frame("test_question", newer)
@@ -232,17 +237,17 @@
             assert acceptor.link.traffic.unsupported == 2
             nursery.cancel_scope.cancel()
 
-    async def test_caller_hangs_up_while_sending(self, autojump_clock):
-        """One caller's cancellation must not cost the calls of all others.
+    async def test_sender_is_cancelled_while_sending(self, autojump_clock):
+        """Cancelling one sender must not fail the calls of all others.
 
-        A large message waits for room. Its sender is cancelled. If half of it were
-        out, the link would have to end, and every other call on it would turn into
-        "unknown".
+        The sender of a large message is cancelled while it waits for free capacity. If
+        a part of the message had been written, the link would have to be closed, and
+        the outcome of every other call on it would be unknown.
         """
-        acceptor = Acceptor(answering())
+        acceptor = Acceptor(handlers_with_reply())
         async with trio.open_nursery() as nursery:
-            link = await opened(nursery, await acceptor.dial(nursery))
-            large = incompressible(3 * 1024 * 1024)
+            link = await open_running_link(nursery, await acceptor.dial(nursery))
+            large = incompressible_text(3 * 1024 * 1024)
             async with trio.open_nursery() as callers:
                 for _ in range(3):
                     callers.start_soon(link.call, Question(large), 60)
@@ -253,10 +258,10 @@
             nursery.cancel_scope.cancel()
 
     async def test_peer_that_never_reads(self, autojump_clock):
-        """A frozen peer keeps its connection open and reads nothing any more.
+        """A frozen peer keeps its connection open but does not read.
 
-        The buffers fill; senders must get their answer within a bound, and the
-        queue must not grow.
+        When the buffers are full, `send` must fail within its timeout, and the queue
+        must not grow further.
         """
         network = MemoryNetwork("127.0.0.2")
 
@@ -267,8 +272,8 @@
         async with trio.open_nursery() as nursery:
             await nursery.start(network.listen, ADDRESS, accept_and_freeze)
             stream = await network.with_host("127.0.0.1").dial(ADDRESS)
-            link = await opened(nursery, stream)
-            text = incompressible(400_000)
+            link = await open_running_link(nursery, stream)
+            text = incompressible_text(400_000)
             sent = [await link.send(Question(text)) for _ in range(8)]
             assert sent[0] and not sent[-1]
             assert link.end_reason == "the other end does not read"
--- a/tests/connection/test_memory_network.py
+++ b/tests/connection/test_memory_network.py
@@ -1,4 +1,4 @@
-"""Tests of the in-memory network and its faults."""
+"""Tests for the in-memory network and its fault injection."""
 
 import pytest
 import trio
@@ -11,7 +11,7 @@
 
 
 async def echo(stream):
-    """Send back what comes."""
+    """Send back the received bytes."""
     while data := await stream.receive_some():
         await stream.send_all(data)
 
@@ -25,9 +25,9 @@
 
 
 class TestMemoryNetwork:
-    """Links can be slow, silent, cut and dead."""
+    """Connections can be delayed, silenced, partitioned and reset."""
 
-    async def test_delay_is_paid_in_each_direction(self, network, autojump_clock):
+    async def test_delay_applies_in_each_direction(self, network, autojump_clock):
         network.delays_s[frozenset((SERVER.host, CALLER))] = 0.5
         stream = await network.with_host(CALLER).dial(SERVER)
         start = trio.current_time()
@@ -49,7 +49,7 @@
         await new.send_all(b"ping")
         assert await new.receive_some() == b"ping"
 
-    async def test_cut_refuses_new_connections_until_healed(
+    async def test_partition_prevents_connections_until_healed(
         self, network, autojump_clock
     ):
         caller = network.with_host(CALLER)
@@ -70,11 +70,11 @@
         with pytest.raises(ConnectionRefusedError):
             await caller.dial(SERVER)
 
-    async def test_what_was_sent_before_a_close_arrives(self, nursery, autojump_clock):
-        """The server answers, closes at once, and the answer is still on its way.
+    async def test_bytes_sent_before_close_arrive(self, nursery, autojump_clock):
+        """The server responds and closes while the response is still in transit.
 
-        The end of the handler used to reset the connection, which threw the last
-        bytes away; callers saw streams break just before their end.
+        Guards against a reset at the end of the handler, which would discard the last
+        bytes, so that callers would see streams fail just before their end.
         """
         network = MemoryNetwork()
         network.delays_s[frozenset((SERVER.host, CALLER))] = 0.5
@@ -99,5 +99,6 @@
         await first.send_all(bytes(2000))
         await second.send_all(bytes(1000))
         assert len(await second.receive_some()) == 1000
-        # They go out from 2 s to 3 s and come back behind the others, from 4 s to 5 s.
+        # The second request is sent from 2 s to 3 s. Its echo returns after that of the
+        # first one, from 4 s to 5 s.
         assert trio.current_time() - start == 5.0
--- a/tests/connection/test_platform.py
+++ b/tests/connection/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform client against the stand-in under faults."""
+"""Tests for the platform client against the stand-in under faults."""
 
 import pytest
 import trio
@@ -56,10 +56,10 @@
         assert await client.delete("shard", "a/b", 1) == Conflict(2)
         assert await client.delete("shard", "a/b", 2) == Written(3)
 
-    async def test_answer_lost(self, bench, autojump_clock):
-        """A write takes effect, then the connection closes without an answer.
+    async def test_response_lost(self, bench, autojump_clock):
+        """A write takes effect, then the connection closes without a response.
 
-        The writer must hear that it may have been done; a read shows that it was.
+        The failure must have ``maybe_done``; a read shows that the write took effect.
         """
         client, platform, _ = bench
         platform.faults.lose_answers = 1
@@ -68,9 +68,9 @@
         assert await client.read("shard", "a") == StoredObject(1, 1)
 
     async def test_slow(self, bench, autojump_clock):
-        """A write takes effect at once and is answered after 3 s.
+        """A write takes effect immediately, and its response is sent after 3 s.
 
-        The writer gives up after 2 s and can't tell whether it was done.
+        The client times out after 2 s and does not know whether the write took effect.
         """
         client, platform, _ = bench
         platform.faults.slow_s = 3
@@ -80,11 +80,12 @@
         assert trio.current_time() - started_s == pytest.approx(2)
         assert platform.kinds["shard"].objects["a"].value == 1
 
-    async def test_surely_not_done(self, bench, autojump_clock):
-        """A write is refused during an outage, is cut off, or finds nobody.
+    async def test_write_that_cannot_have_taken_effect(self, bench, autojump_clock):
+        """A write is refused during an outage, is partitioned, or finds no listener.
 
-        The writer hears that nothing was done, so it may safely write again: the
-        platform refuses before any effect, and the others saw no byte of the call.
+        The failure shows that nothing was done, so the write may safely be repeated:
+        the platform refuses before any effect, and in the other cases no byte of the
+        call was received.
         """
         client, platform, network = bench
         platform.faults.outage = "refuse"
@@ -100,10 +101,10 @@
         assert platform.kinds["shard"].objects == {}
 
     async def test_silent_connections(self, bench, autojump_clock):
-        """Five kept connections go silent for good.
+        """Five pooled connections become silent permanently.
 
-        One call pays a timeout. The others must not pay one each, since new
-        connections work.
+        One call runs into its timeout. The next calls must not, since new connections
+        work.
         """
         client, platform, network = bench
         platform.faults.slow_s = 0.1
@@ -118,21 +119,21 @@
         assert trio.current_time() - started_s < 1
 
     async def test_connection_reset(self, bench, autojump_clock):
-        """A connection is reset while its call is under way.
+        """A connection is reset while its call is in progress.
 
-        A read is made again over a new connection and the caller does not hear of
-        it. A write is not: it says that it may have been done, as indeed it was.
+        A read is retried over a new connection and succeeds. A write is not retried;
+        its failure has ``maybe_done``, and it did take effect.
         """
         client, platform, network = bench
         platform.faults.slow_s = 0.5
         outcomes = []
 
-        async def keep(call):
+        async def record(call):
             outcomes.append(await call)
 
         for call in (client.read("shard", "a"), client.create("shard", "a", 1)):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(keep, call)
+                nursery.start_soon(record, call)
                 await trio.sleep(0.2)
                 for stream in list(network.streams):
                     stream.kill()
@@ -159,11 +160,11 @@
         assert listed == changes
         assert later == changes[1:]
 
-    async def test_silence(self, bench, autojump_clock):
-        """A watch's connection goes silent for good, then an object changes.
+    async def test_silent_watch_ends(self, bench, autojump_clock):
+        """The connection of a watch becomes silent, then an object changes.
 
-        No error comes. The watch must end by its idle bound of 3 s, and a new one,
-        which starts with a list, shows the change.
+        No error is reported. The watch must end at its idle timeout of 3 s, and a new
+        one, which starts with a list, shows the change.
         """
         client, _, network = bench
         ended = []
@@ -184,7 +185,7 @@
             await collect(client, "shard", second)
         assert second == [ObjectChanged("a", 1, 1)]
 
-    async def test_no_watch(self, bench, autojump_clock):
+    async def test_watch_cannot_be_opened(self, bench, autojump_clock):
         client, platform, network = bench
         platform.faults.outage = "refuse"
         assert await collect(client, "shard", []) == "status 503"
@@ -220,10 +221,10 @@
         assert prices[True].price_per_hour < prices[False].price_per_hour
 
     async def test_start_lost(self, bench, autojump_clock):
-        """The cloud starts an instance and its answer is lost.
+        """The cloud starts an instance, and its response is lost.
 
-        Asking again would pay for two, so the caller must hear that it may have
-        been done.
+        A retry would start and pay for a second instance, so the failure must have
+        ``maybe_done``.
         """
         client, platform, _ = bench
         platform.faults.lose_answers = 1
--- a/tests/connection/test_platform_calls.py
+++ b/tests/connection/test_platform_calls.py
@@ -1,4 +1,4 @@
-"""Tests of calls of the platform whose answers take long."""
+"""Tests for platform calls whose responses arrive slowly."""
 
 import pytest
 import trio
@@ -12,62 +12,62 @@
 OURS = "10.0.0.1"
 ADDRESS = Address("10.0.0.2", 80)
 LINK_BYTES_PER_S = 5e6 / 8
-# Three seconds of the link.
+# Takes three seconds to transmit over the link.
 LARGE = b"x" * 1_875_000
 
 
-async def answer_whole(request, wire):
+async def respond_completely(request, wire):
     await wire.answer(200, {}, LARGE)
 
 
-async def answer_half(request, wire):
+async def respond_partially(request, wire):
     await wire.head(200, {"Content-Length": str(len(LARGE))})
     await wire.send(LARGE[:1000])
     await trio.sleep_forever()
 
 
-async def answer_in_drops(request, wire):
+async def respond_byte_by_byte(request, wire):
     await wire.head(200, {"Content-Length": str(len(LARGE))})
     while True:
         await wire.send(b"x")
         await trio.sleep(1)
 
 
-class TestLongAnswers:
+class TestSlowResponses:
     @pytest.fixture
     def call(self, nursery):
-        """Return a function that asks a server with an answer of its own."""
+        """Return a function that calls a server with the given handler."""
 
-        async def ask(handler, method="GET"):
+        async def call_server(handler, method="GET"):
             network = MemoryNetwork(OURS)
             network.limit_link(OURS, LINK_BYTES_PER_S)
             server = RawServer(handler)
-            theirs = network.with_host(ADDRESS.host)
-            await nursery.start(server.serve, theirs, ADDRESS)
+            server_network = network.with_host(ADDRESS.host)
+            await nursery.start(server.serve, server_network, ADDRESS)
             calls = PlatformCalls(network, ADDRESS)
-            began_s = trio.current_time()
-            answer = await calls.call(method, "/x")
+            started_s = trio.current_time()
+            response = await calls.call(method, "/x")
             await calls.aclose()
-            return answer, trio.current_time() - began_s
+            return response, trio.current_time() - started_s
 
-        return ask
+        return call_server
 
-    async def test_slow_link_brings_a_whole_answer(self, call, autojump_clock):
-        """Guards against a read that is given up and repeated over a full link."""
-        answer, _ = await call(answer_whole)
-        assert answer.status_code == 200 and answer.content == LARGE
+    async def test_slow_link_delivers_complete_response(self, call, autojump_clock):
+        """Guards against a read that is abandoned and repeated over a full link."""
+        response, _ = await call(respond_completely)
+        assert response.status_code == 200 and response.content == LARGE
 
-    async def test_answer_that_stops(self, call, autojump_clock):
-        answer, took_s = await call(answer_half)
-        assert answer == PlatformFailed("timeout", maybe_done=True)
+    async def test_response_that_stalls(self, call, autojump_clock):
+        response, took_s = await call(respond_partially)
+        assert response == PlatformFailed("timeout", maybe_done=True)
         assert took_s < 2.5
 
-    async def test_answer_in_drops(self, call, autojump_clock):
-        answer, took_s = await call(answer_in_drops)
-        assert answer == PlatformFailed("timeout", maybe_done=True)
+    async def test_response_byte_by_byte(self, call, autojump_clock):
+        response, took_s = await call(respond_byte_by_byte)
+        assert response == PlatformFailed("timeout", maybe_done=True)
         assert took_s < 8.5
 
-    async def test_write_keeps_its_bound(self, call, autojump_clock):
-        answer, took_s = await call(answer_in_drops, "POST")
-        assert answer == PlatformFailed("timeout", maybe_done=True)
+    async def test_write_timeout_is_not_extended(self, call, autojump_clock):
+        response, took_s = await call(respond_byte_by_byte, "POST")
+        assert response == PlatformFailed("timeout", maybe_done=True)
         assert took_s < 2.5
--- a/tests/gateway/test_bounds.py
+++ b/tests/gateway/test_bounds.py
@@ -8,7 +8,7 @@
 from tests.gateway.slow_callers import read_slowly
 
 from rosemaryknot.process.attempt_budget import AttemptBudget
-from rosemaryknot.process.logs import FLUSH_S
+from rosemaryknot.process.logs import FLUSH_TIMEOUT_S
 from rosemaryknot.process.node_settings import Bounds
 from rosemaryknot.process.settings_watch import reload_settings
 from rosemaryknot.standin.users.system import (
@@ -141,7 +141,7 @@
             await caller.send("/book/x", Rosemaryknot_Deadline_Ms="30000")
             await trio.sleep(sent_before_s)
             fleet.stops["n0"].set()
-            await trio.sleep(GRACE_S - FLUSH_S)
+            await trio.sleep(GRACE_S - FLUSH_TIMEOUT_S)
             assert fleet.nodes["n0"].listener.state.open == 0
 
 
--- a/tests/gateway/test_configurations.py
+++ b/tests/gateway/test_configurations.py
@@ -11,7 +11,7 @@
     platform_system,
     route,
 )
-from rosemaryknot.values.gateway_peers import ConfigurationTold
+from rosemaryknot.values.gateway_peers import ConfigurationReply
 
 NODES = 30
 ROUTES = 400
@@ -91,7 +91,7 @@
         async with platform_system(nodes=3) as fleet:
             await trio.sleep(1)
             for packed in (b"", b"nothing", difference(Document.of(9, 9, [1]), None)):
-                message = ConfigurationTold(9, 99, 0, packed)
+                message = ConfigurationReply(9, 99, 0, packed)
                 await fleet.nodes["n0"].peers.broadcast(message)
             await trio.sleep(1)
             assert versions(fleet) == {1}
--- a/tests/gateway/test_fuzz.py
+++ b/tests/gateway/test_fuzz.py
@@ -77,7 +77,7 @@
     @given(
         st.binary(max_size=200)
         | st.builds(
-            lambda head, rest: head + rest,
+            lambda head, buffer: head + buffer,
             st.sampled_from(
                 [
                     b"HTTP/1.1 200 x\r\nContent-Length: 5\r\n",
@@ -97,7 +97,7 @@
     def test_nothing_is_lost_or_added(self, chunks):
         splitter = EventSplitter()
         passed = b"".join(splitter.feed(chunk) for chunk in chunks)
-        assert passed + bytes(splitter.rest) == b"".join(chunks)
+        assert passed + bytes(splitter.buffer) == b"".join(chunks)
 
 
 class TestSettings:
--- a/tests/gateway/test_server_restarts.py
+++ b/tests/gateway/test_server_restarts.py
@@ -26,13 +26,13 @@
     return fleet.nodes[node].state.servers.by_id[server_id]
 
 
-def entry_of(born, is_leaving=False, port=80):
+def entry_of(born, is_draining=False, port=80):
     return RoutedServer(
         ServerIncarnation("p0", born),
         PLAIN,
         "z0",
         Address("10.1.0.1", port),
-        is_leaving=is_leaving,
+        is_draining=is_draining,
     )
 
 
@@ -313,7 +313,7 @@
             for entry in (late, {k: v for k, v in late.items() if k != "born"}):
                 fleet.store.put("servers", "p0", entry)
                 await trio.sleep(SOON_S)
-                assert not state_of(fleet, "p0").is_leaving
+                assert not state_of(fleet, "p0").is_draining
                 assert (await request_stock(fleet, "s1")).status == 200
 
     async def test_entry_in_a_list(self, autojump_clock):
@@ -326,7 +326,7 @@
             fleet.store.forget_history()
             await trio.sleep(6)
             state = state_of(fleet, "p0")
-            assert not state.is_leaving and not state.is_missing
+            assert not state.is_draining and not state.is_missing
 
     async def test_is_logged_once(self, autojump_clock):
         async with platform_system(plain=1) as fleet:
@@ -393,14 +393,14 @@
     async def test_order_of_incarnations(self, autojump_clock):
         table = ServerTable()
         assert not table.put(entry_of(None))
-        assert not table.put(entry_of(None, is_leaving=True))
-        assert table.by_id["p0"].is_leaving
+        assert not table.put(entry_of(None, is_draining=True))
+        assert table.by_id["p0"].is_draining
         # Restarted with software that reports a birth time.
         assert not table.put(entry_of(100))
-        assert not table.by_id["p0"].is_leaving
-        assert table.put(entry_of(99, is_leaving=True))
-        assert table.put(entry_of(None, is_leaving=True))
-        assert not table.by_id["p0"].is_leaving
+        assert not table.by_id["p0"].is_draining
+        assert table.put(entry_of(99, is_draining=True))
+        assert table.put(entry_of(None, is_draining=True))
+        assert not table.by_id["p0"].is_draining
         assert not table.put(entry_of(101))
         assert table.by_id["p0"].entry.born == 101
 
@@ -410,7 +410,7 @@
         It is the same incarnation: its announced drain and cached prompts still apply.
         """
         table = ServerTable()
-        table.put(entry_of(100, is_leaving=True))
+        table.put(entry_of(100, is_draining=True))
         state = table.by_id["p0"]
         table.remove("p0")
         assert "p0" not in table.by_id
@@ -440,10 +440,10 @@
         Whether it has restarted is unknown; it gets requests, as with older software.
         """
         table = ServerTable()
-        table.put(entry_of(None, is_leaving=True))
+        table.put(entry_of(None, is_draining=True))
         table.remove("p0")
         table.put(entry_of(None))
-        assert not table.by_id["p0"].is_leaving
+        assert not table.by_id["p0"].is_draining
 
     async def test_without_birth_times(self, autojump_clock):
         """Older software reports no birth time; all its entries are one incarnation."""
