--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,11 +1,11 @@
-"""Tests of the headers of requests and answers."""
+"""Tests of the headers of requests and responses."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from rosemaryknot.platform.headers import PlatformWire
 from rosemaryknot.values.gateway import GatewayRequest, RoutedServer
-from rosemaryknot.values.gateway_answers import TargetFault
+from rosemaryknot.values.gateway_responses import TargetFault
 from rosemaryknot.values.incarnation import ServerIncarnation
 from rosemaryknot.values.nodes import Address
 
@@ -31,11 +31,11 @@
     def test_is_decoded(self):
         request = read()
         assert (request.id, request.host, request.path) == ("r1", "a.example", "/a/b")
-        assert (request.key, request.patience_s) == ("k1", 1.5)
+        assert (request.key, request.caller_timeout_s) == ("k1", 1.5)
         assert request.size.prompt_tokens == 1460
         assert [part.id for part in request.size.segments] == ["5c1e", "91bd", "e440"]
 
-    def test_what_goes_on(self):
+    def test_forwarded_headers(self):
         names = dict(PlatformWire().server_headers(read(), SERVER, "ada", 1.2, 3, b"7"))
         assert names[b"rosemaryknot-deadline-ms"] == b"1200"
         assert names[b"rosemaryknot-expect-instance"] == b"i-1"
@@ -45,7 +45,7 @@
         assert names[b"x-kept"] == b"1"
         assert b"x-once" not in names and b"authorization" not in names
 
-    def test_target_that_is_no_path(self):
+    def test_target_is_not_a_path(self):
         assert isinstance(read(target=b"http://a.example/"), TargetFault)
         assert isinstance(read(headers=[]), TargetFault)
 
@@ -57,14 +57,14 @@
         )
     )
     def test_any_values(self, headers):
-        """Values of any bytes give a request or a fault, never an exception."""
+        """Arbitrary header values give a request or a fault, never an exception."""
         found = read([(b"Host", b"a.example"), *headers])
         assert isinstance(found, GatewayRequest | TargetFault)
 
 
-class TestAnswers:
+class TestResponses:
     def test_is_decoded(self):
-        head = PlatformWire().read_answer(
+        head = PlatformWire().read_response(
             503,
             [
                 (b"Rosemaryknot-Not-Executed", b"1"),
@@ -79,4 +79,4 @@
         assert not head.is_signed
 
     def test_misdirected_has_not_run(self):
-        assert PlatformWire().read_answer(421, []).not_run
+        assert PlatformWire().read_response(421, []).not_run
--- a/tests/process/entry_fleet.py
+++ b/tests/process/entry_fleet.py
@@ -1,4 +1,4 @@
-"""Entries with their agents and backend servers on a memory network."""
+"""Test fleet of entries, agents and backend servers on an in-memory network."""
 
 import random
 from contextlib import asynccontextmanager
@@ -29,7 +29,7 @@
 PLAIN = "dispatch-app"
 ZONE = "waco-a"
 CALLERS = "10.9.0.1"
-PUSH_S = 2.0
+PUSH_INTERVAL_S = 2.0
 
 API_KEY, STORED_KEY = new_key("estimator-1")
 OTHER_API_KEY, OTHER_STORED_KEY = new_key("estimator-2")
@@ -54,7 +54,7 @@
 
 
 class FakeAgent:
-    """The agent of one node: configuration, servers and claims over one link."""
+    """Agent of one node that serves configuration, servers and claims over a link."""
 
     def __init__(self, fleet: "Fleet", network: MemoryNetwork, address: Address):
         self.fleet = fleet
@@ -64,9 +64,9 @@
         self.marks = []
         self.servers = ServerTable()
         self.scope = trio.CancelScope()
-        self.thawed = trio.Event()
-        self.thawed.set()
-        self.handlers.on(LeavingMark)(self.take_mark)
+        self.resumed = trio.Event()
+        self.resumed.set()
+        self.handlers.on(LeavingMark)(self.handle_mark)
         claims = ObjectClaims(fleet.store, unix_time)
         register_claim_handlers(
             self.handlers, {"objects": claims}, lambda service: "objects"
@@ -78,16 +78,16 @@
                 self.address, self.accept, task_status=task_status
             )
 
-    def freeze(self):
-        """Stand still: connections are accepted, and nothing else happens."""
-        self.thawed = trio.Event()
+    def suspend(self):
+        """Stop all activity except that connections are accepted."""
+        self.resumed = trio.Event()
         self.network.silence(self.fleet.entry_host(0), self.network.host)
 
-    def thaw(self):
-        self.thawed.set()
+    def resume(self):
+        self.resumed.set()
 
     async def accept(self, stream):
-        await self.thawed.wait()
+        await self.resumed.wait()
         hello = Hello("waco-a-1", ZONE, 1, "agent", b"")
         try:
             link = await accept_link(stream, CLUSTER_KEY, hello, self.handlers)
@@ -97,9 +97,9 @@
             nursery.start_soon(link.run)
             while not link.is_closed:
                 await self.push(link)
-                await trio.sleep(PUSH_S)
+                await trio.sleep(PUSH_INTERVAL_S)
 
-    async def take_mark(self, mark, link):
+    async def handle_mark(self, mark, link):
         self.marks.append(mark)
 
     async def push(self, link):
@@ -109,13 +109,13 @@
         await link.send(self.servers.to_push())
 
     def kill(self):
-        """End it and reset its connections."""
+        """Terminate the agent and reset its connections."""
         self.scope.cancel()
         self.network.kill_host(self.network.host)
 
 
 class Fleet:
-    """Entries, their agents and backend servers, each on a host of its own."""
+    """Entries, their agents and backend servers, each on its own host."""
 
     def __init__(self, nursery, document=None):
         self.nursery = nursery
@@ -132,7 +132,7 @@
         self.ended: list[trio.Event] = []
         self.scopes: list[trio.CancelScope] = []
 
-    def list_server(self, name, service, host):
+    def register_server(self, name, service, host):
         self.backends[name] = BackendServer(
             name, service, ZONE, "g1", True, f"{host}:9000"
         )
@@ -143,7 +143,7 @@
         network = self.network.with_host(host)
         await self.nursery.start(engine.serve, network, Address(host, 9000))
         self.engines[name] = engine
-        self.list_server(name, MODEL, host)
+        self.register_server(name, MODEL, host)
         return engine
 
     async def add_plain(self, name):
@@ -152,10 +152,10 @@
         network = self.network.with_host(host)
         await self.nursery.start(plain.serve, network, Address(host, 9000))
         self.plains[name] = plain
-        self.list_server(name, PLAIN, host)
+        self.register_server(name, PLAIN, host)
         return plain
 
-    def host_of(self, name):
+    def server_host(self, name):
         return self.backends[name].address.split(":")[0]
 
     async def add_agent(self, index):
@@ -207,7 +207,7 @@
         return f"http://{self.entry_host(index)}:8100"
 
     def runs(self):
-        """Return how often each idempotency key ran, over all servers."""
+        """Return the number of executions by idempotency key over all servers."""
         counts = {}
         for plain in self.plains.values():
             for run in plain.runs:
@@ -223,7 +223,7 @@
             yield client
 
 
-async def whole_fleet(nursery, **limits) -> Fleet:
+async def start_fleet(nursery, **limits) -> Fleet:
     """Start two servers of each service and one entry."""
     fleet = Fleet(nursery)
     for name in ("e1", "e2"):
--- a/tests/process/limit_fleet.py
+++ b/tests/process/limit_fleet.py
@@ -10,7 +10,7 @@
 from rosemaryknot.process.limits.shares import LimitKey, ZoneMembers, owner_of
 from rosemaryknot.request.accounts import Charge
 from rosemaryknot.request.budget import EntryBudgets
-from rosemaryknot.values.limits import BudgetAsk, BudgetTransfer
+from rosemaryknot.values.limits import BudgetRequest, BudgetTransfer
 from rosemaryknot.values.messages import decode_message, encode_message
 from rosemaryknot.values.nodes import Node
 from rosemaryknot.version.tables import Limit
@@ -105,7 +105,7 @@
             await trio.sleep(0.5)
 
     async def call(self, source, target, value, role, timeout_s):
-        self.asks += isinstance(value, BudgetAsk)
+        self.asks += isinstance(value, BudgetRequest)
         self.transfers += isinstance(value, BudgetTransfer)
         node = self.nodes[target]
         zones = frozenset((source.node.zone, node.node.zone))
--- a/tests/process/standby_fleet.py
+++ b/tests/process/standby_fleet.py
@@ -1,4 +1,4 @@
-"""The whole system in virtual time with callers of two customers."""
+"""Test fleet: the complete system in virtual time with callers of two customers."""
 
 import random
 
@@ -19,11 +19,11 @@
 RELAY = "waco-a-1"
 STEP_S = 0.02
 LONG, SHORT = 600, 100
-PATIENCE_S = 60.0
+CALLER_TIMEOUT_S = 60.0
 
 
 class Fleet:
-    """A running system and its callers' connections."""
+    """A running system and the connections of its callers."""
 
     def __init__(self, system, client, keys):
         self.system = system
@@ -40,12 +40,12 @@
         entries = [self.address(node) for node in nodes]
         return Caller(self.client, self.keys[customer], entries, random.Random(1))
 
-    async def ask(self, note, caller):
-        """Stream from the relay; pick the rest up at the other nodes."""
+    async def ask(self, record, caller):
+        """Stream from the relay, and pick up the remainder at the other nodes."""
         caller.entries = [self.address(RELAY)]
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(caller.ask, note, MODEL, PATIENCE_S)
-            while not note.tokens:
+            nursery.start_soon(caller.ask, record, MODEL, CALLER_TIMEOUT_S)
+            while not record.tokens:
                 await trio.sleep(STEP_S)
             caller.entries = self.others()
 
@@ -54,35 +54,39 @@
         url = f"http://{self.address(node)}{path}"
         return await self.client.get(url, headers=headers)
 
-    async def wait_tokens(self, note, count):
-        while len(note.tokens) < count:
+    async def wait_tokens(self, record, count):
+        while len(record.tokens) < count:
             await trio.sleep(STEP_S)
 
-    def standby_of(self, note):
-        """Return the node that the relay copies a request to; empty for none."""
-        copies = self.system.nodes[RELAY].entry_process.standby.copies
-        copied = copies.get(("estimator-1", note.id))
-        return copied.standby if copied else ""
+    def standby_node(self, record):
+        """Return the node that holds the replica of a request; empty for none."""
+        replicas = self.system.nodes[RELAY].entry_process.standby.replicas
+        replicated = replicas.get(("estimator-1", record.id))
+        return replicated.standby if replicated else ""
 
-    async def whole_from(self, node, note):
-        """Pick a request up from its start at one node."""
-        again = ModelNote(note.prompt, note.max_tokens, id=note.id)
+    async def pick_up_all(self, node, record):
+        """Pick up the complete text of a request at one node."""
+        picked_up = ModelNote(record.prompt, record.max_tokens, id=record.id)
         caller = self.caller([node])
-        with trio.move_on_after(PATIENCE_S):
-            while again.outcome == "none":
-                await caller.pick_up(again)
+        with trio.move_on_after(CALLER_TIMEOUT_S):
+            while picked_up.outcome == "none":
+                await caller.pick_up(picked_up)
                 await trio.sleep(0.2)
-        assert_whole(again)
-        return again
+        assert_complete(picked_up)
+        return picked_up
 
 
-def assert_whole(note):
-    assert note.outcome == "answered", (note.outcome, note.reason, len(note.tokens))
-    assert audit_model(note, lambda _: False) == []
+def assert_complete(record):
+    assert record.outcome == "answered", (
+        record.outcome,
+        record.reason,
+        len(record.tokens),
+    )
+    assert audit_model(record, lambda _: False) == []
 
 
-def run_story(story, nodes_per_zone=1, **safeguards):
-    """Run an async function of a fleet in virtual time."""
+def run_scenario(scenario, nodes_per_zone=1, **safeguards):
+    """Run an async test scenario with a fleet in virtual time."""
     keys, entries = {}, {}
     for customer in ("estimator-1", "estimator-2"):
         keys[customer], entry = new_key(customer)
@@ -106,7 +110,7 @@
                 await trio.sleep(3.0)
                 async with http_client(system.callers, None) as client:
                     with trio.fail_after(300.0):
-                        await story(Fleet(system, client, keys))
+                        await scenario(Fleet(system, client, keys))
             finally:
                 system.dispose()
                 nursery.cancel_scope.cancel()
--- a/tests/process/test_admin_configuration.py
+++ b/tests/process/test_admin_configuration.py
@@ -1,4 +1,4 @@
-"""Operators' commands on the configuration, against an agent over loopback."""
+"""Operators' commands for the configuration, against an agent over loopback."""
 
 import json
 import threading
@@ -6,14 +6,14 @@
 import pytest
 import trio
 from tests.version.documents import EDITOR_KEY, VIEWER_KEY, count_patch, first_patch
-from tests.version.platform import first_agent, running_bench
+from tests.version.platform import first_agent, running_harness
 from typer.testing import CliRunner
 
 from rosemaryknot.connection.http_server import HttpServer
 from rosemaryknot.connection.network import SocketNetwork
 from rosemaryknot.connection.platform import PlatformClient
 from rosemaryknot.process import admin_configuration, admin_main
-from rosemaryknot.process.admin import AgentOptions, NoAnswer
+from rosemaryknot.process.admin import AgentOptions, NoResponse
 from rosemaryknot.process.command_line import ExitCode
 from rosemaryknot.process.configuration import ConfigurationHolder
 from rosemaryknot.standin.platform import PlatformStandIn
@@ -26,8 +26,8 @@
 LOOPBACK = Address("127.0.0.1", 0)
 
 
-class LiveAgent:
-    """An agent's API and a platform in a thread of their own."""
+class AgentThread:
+    """Agent's API and simulated platform, running in a separate thread."""
 
     def __init__(self) -> None:
         self.ready = threading.Event()
@@ -59,18 +59,18 @@
 
 @pytest.fixture
 def agent():
-    """Return an agent that serves version 1."""
-    live = LiveAgent()
-    thread = threading.Thread(target=live.run)
+    """Provide an agent that serves version 1."""
+    running = AgentThread()
+    thread = threading.Thread(target=running.run)
     thread.start()
-    assert live.ready.wait(10)
-    yield live
-    live.stop()
+    assert running.ready.wait(10)
+    yield running
+    running.stop()
     thread.join(10)
 
 
-def admin(agent: LiveAgent, *arguments: str, key: str = EDITOR_KEY):
-    """Run one command."""
+def admin(agent: AgentThread, *arguments: str, key: str = EDITOR_KEY):
+    """Run one operators' command."""
     admin_main.load_commands()
     environment = {"ROSEMARYKNOT_AGENT": agent.address, "ROSEMARYKNOT_KEY": key}
     return CliRunner().invoke(admin_main.application, arguments, env=environment)
@@ -78,15 +78,15 @@
 
 @pytest.fixture
 def patch_file(tmp_path):
-    """Return a file with a patch of one count."""
+    """Return the path of a file with a patch that changes one count."""
     path = tmp_path / "patch.json"
     path.write_text(json.dumps(count_patch("waco-b", 3)))
     return str(path)
 
 
 class TestCommands:
-    def test_first_week(self, agent, patch_file):
-        """Show, try, patch, meet a stale base, look at the history and undo."""
+    def test_sequence_of_commands(self, agent, patch_file):
+        """Show, dry run, patch, stale base, history, diff and undo in sequence."""
         shown = admin(agent, "show", "--json")
         assert json.loads(shown.output)["number"] == 1
         dry = admin(agent, "patch", patch_file, "--base", "1", "--dry-run")
@@ -106,9 +106,9 @@
         danger = tmp_path / "danger.json"
         operations = [{"op": "remove", "path": "/placements/dispatch-app"}]
         danger.write_text(json.dumps(operations))
-        asked = admin(agent, "patch", str(danger), "--base", "1")
-        assert asked.exit_code == ExitCode.REFUSED
-        assert "--confirm dispatch-app" in asked.output
+        refused = admin(agent, "patch", str(danger), "--base", "1")
+        assert refused.exit_code == ExitCode.REFUSED
+        assert "--confirm dispatch-app" in refused.output
         arguments = ["patch", str(danger), "--base", "1", "--confirm", "dispatch-app"]
         assert admin(agent, *arguments, key=VIEWER_KEY).exit_code == ExitCode.REFUSED
         assert admin(agent, *arguments).exit_code == ExitCode.OK
@@ -134,25 +134,25 @@
         assert shown.exit_code == ExitCode.OK
 
 
-class TestLostAnswer:
-    async def submit(self, bench, agent, stop_after):
-        """Submit to an agent whose answers are lost for a while."""
-        network = bench.network.with_host("127.0.9.2")
+class TestLostResponse:
+    async def submit(self, harness, agent, stop_after):
+        """Submit to an agent whose responses are lost after 0.1 seconds."""
+        network = harness.network.with_host("127.0.9.2")
         server = HttpServer(operators_app(agent.holder, agent), network)
         options = AgentOptions(Address("127.0.9.2", 8200), EDITOR_KEY)
         content = json.dumps(count_patch("waco-b", 3)).encode()
         async with trio.open_nursery() as nursery:
             await nursery.start(server.serve, options.agent)
 
-            async def lose_answers():
+            async def lose_responses():
                 await trio.sleep(0.1)
-                bench.network.silence("127.0.9.1", "127.0.9.2")
+                harness.network.silence("127.0.9.1", "127.0.9.2")
                 if stop_after:
-                    bench.network.cut("127.0.9.1", "127.0.9.2")
+                    harness.network.cut("127.0.9.1", "127.0.9.2")
 
-            nursery.start_soon(lose_answers)
-            answer = await admin_configuration.submit_patch(
-                bench.network,
+            nursery.start_soon(lose_responses)
+            response = await admin_configuration.submit_patch(
+                harness.network,
                 options,
                 "PATCH",
                 "/v1/configuration",
@@ -161,24 +161,27 @@
                 content,
             )
             nursery.cancel_scope.cancel()
-        return answer
+        return response
 
-    async def test_resolved_by_the_id(self, autojump_clock):
-        """The patch is accepted and the connection falls silent before the answer.
+    async def test_resolved_by_patch_id(self, autojump_clock):
+        """The patch is accepted, and the connection becomes silent before the response.
 
-        The command asks by the patch id over a new connection and tells the number.
+        The command must query the result by patch id over a new connection.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
-            bench.standin.faults.slow_s = 0.2
-            answer = await self.submit(bench, agent, stop_after=False)
-            assert (answer.body["outcome"], answer.body["number"]) == ("accepted", 2)
-
-    async def test_agent_gone_for_good(self, autojump_clock):
-        """Nobody answers any more: the command says unknown, never failed."""
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
-            bench.standin.faults.slow_s = 0.2
-            answer = await self.submit(bench, agent, stop_after=True)
-            assert isinstance(answer, NoAnswer)
-            assert answer.code == ExitCode.UNKNOWN
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
+            harness.standin.faults.slow_s = 0.2
+            response = await self.submit(harness, agent, stop_after=False)
+            assert (response.body["outcome"], response.body["number"]) == (
+                "accepted",
+                2,
+            )
+
+    async def test_agent_never_responds_again(self, autojump_clock):
+        """The agent never responds again: the result must be unknown, not failed."""
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
+            harness.standin.faults.slow_s = 0.2
+            response = await self.submit(harness, agent, stop_after=True)
+            assert isinstance(response, NoResponse)
+            assert response.code == ExitCode.UNKNOWN
--- a/tests/process/test_agent.py
+++ b/tests/process/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent: configuration, servers, status and planned stops over several nodes."""
+"""Tests of agents: configuration, servers, status and shutdown of several nodes."""
 
 import json
 import random
@@ -35,7 +35,7 @@
 
 
 class Region:
-    """Agents and a platform, each on a host of its own."""
+    """Agents and a platform, each on its own host."""
 
     def __init__(self, nursery: trio.Nursery, size: int = 6) -> None:
         self.nursery = nursery
@@ -91,10 +91,10 @@
         )
         self.ended.append(number)
 
-    async def ask(
+    async def send_request(
         self, number: int, method: str, path: str, key: str = EDITOR_KEY, **options
     ) -> httpx.Response:
-        """Send a request of an operator to an agent."""
+        """Send a request as an operator to an agent."""
         headers = {"Authorization": f"Bearer {key}"} | options.pop("headers", {})
         async with http_client(self.network, 10) as client:
             url = f"http://{self.host(number)}:8200{path}"
@@ -104,7 +104,7 @@
         self, number: int, operations: list, base: int, key: str = EDITOR_KEY
     ) -> httpx.Response:
         headers = {"If-Match": str(base), "Rosemaryknot-Patch": f"patch-{base:08}"}
-        return await self.ask(
+        return await self.send_request(
             number,
             "PATCH",
             "/v1/configuration",
@@ -113,17 +113,17 @@
             content=json.dumps(operations),
         )
 
-    async def until(self, condition, bound_s: float) -> float:
-        """Wait until a condition holds; return how long it took."""
+    async def wait_until(self, condition, timeout_s: float) -> float:
+        """Wait until a condition holds; return the elapsed time in seconds."""
         start_s = trio.current_time()
-        with trio.fail_after(bound_s):
+        with trio.fail_after(timeout_s):
             while not condition():
                 await trio.sleep(0.02)
         return trio.current_time() - start_s
 
 
 class FakeEntry:
-    """An entry's link to its agent, which keeps what is pushed."""
+    """The link of an entry to its agent, which records the received messages."""
 
     def __init__(self) -> None:
         self.handlers = Handlers()
@@ -152,7 +152,7 @@
             self.marks.append(mark)
 
         @self.handlers.on(DrainRequest)
-        async def drain(asked, link) -> DrainAccepted:
+        async def drain(request, link) -> DrainAccepted:
             self.drains += 1
             self.nursery.start_soon(self.leave, link)
             return DrainAccepted()
@@ -173,7 +173,7 @@
 
 
 class TestConfiguration:
-    async def test_patch_at_one_agent_is_in_force_at_all(self, autojump_clock):
+    async def test_patch_at_one_agent_is_applied_at_all(self, autojump_clock):
         async with trio.open_nursery() as nursery:
             region = Region(nursery)
             await region.start()
@@ -181,26 +181,24 @@
             await nursery.start(entry.run, region, 5)
             first = await region.patch(0, first_patch(), 0, BOOTSTRAP)
             assert first.status_code == 200, first.text
-            took_s = await region.until(
+            took_s = await region.wait_until(
                 lambda: all(a.holder.number == 1 for a in region.agents), 5
             )
             assert took_s < 2
-            await region.until(lambda: entry.pushes, 2)
+            await region.wait_until(lambda: entry.pushes, 2)
             second = await region.patch(3, count_patch("waco-a", 1), 1)
             assert second.status_code == 200, second.text
-            await region.until(
+            await region.wait_until(
                 lambda: all(a.holder.number == 2 for a in region.agents), 2
             )
-            await region.until(lambda: entry.pushes[-1].number == 2, 2)
+            await region.wait_until(lambda: entry.pushes[-1].number == 2, 2)
             nursery.cancel_scope.cancel()
 
-    async def test_platform_down_for_the_whole_life_of_an_instance(
-        self, autojump_clock
-    ):
-        """A node is replaced while the platform is down, and stays so.
+    async def test_platform_down_since_start_of_an_instance(self, autojump_clock):
+        """A node is replaced during a platform outage that does not end.
 
-        The new process cannot read the configuration or the instance list. It must
-        learn both from its peers, and its entry with it.
+        The new process cannot read the configuration or the instance list. It and its
+        entry must receive both from the peers.
         """
         async with trio.open_nursery() as nursery:
             region = Region(nursery)
@@ -210,14 +208,14 @@
             await trio.sleep(3)
             region.platform.faults.outage = "refusing"
             region.stops[4].set()
-            await region.until(lambda: region.ended == [4], 30)
+            await region.wait_until(lambda: region.ended == [4], 30)
             region.agents.pop(4), region.stops.pop(4)
             agent = await region.start_agent(4)
-            assert await region.until(lambda: agent.holder.number == 1, 10) < 4
-            assert await region.until(lambda: agent.servers.get("e1"), 10) < 4
+            assert await region.wait_until(lambda: agent.holder.number == 1, 10) < 4
+            assert await region.wait_until(lambda: agent.servers.get("e1"), 10) < 4
             entry = FakeEntry()
             await nursery.start(entry.run, region, 4)
-            await region.until(lambda: entry.pushes and entry.servers, 2)
+            await region.wait_until(lambda: entry.pushes and entry.servers, 2)
             assert entry.servers[-1].servers[0]["instance"] == "e1"
             nursery.cancel_scope.cancel()
 
@@ -226,12 +224,12 @@
     async def test_mark_from_an_entry_reaches_all_within_a_second(
         self, autojump_clock, monkeypatch
     ):
-        """A server answers an entry that it is leaving; no notice came, the list lags.
+        """A server tells an entry that it drains; there is no notice and the list lags.
 
-        Only that entry knows. It tells its agent, and within a second the agents and
-        entries of its zone and of the others must have stopped sending work there.
+        Only that entry knows. It reports to its agent, and within a second the agents
+        and entries of all zones must have stopped sending requests to the server.
         """
-        # Comparison of the tables would hide a mark that was not passed on.
+        # The periodic comparison of tables would hide a mark that was not forwarded.
         monkeypatch.setattr(
             "rosemaryknot.process.server_distributor.COMPARE_INTERVAL_S", 1e6
         )
@@ -239,25 +237,25 @@
             region = Region(nursery)
             region.platform.add_instance(server("e1"))
             await region.start()
-            teller, hearer = FakeEntry(), FakeEntry()
-            link = await nursery.start(teller.run, region, 0)
-            await nursery.start(hearer.run, region, 5)
+            reporting_entry, other_entry = FakeEntry(), FakeEntry()
+            link = await nursery.start(reporting_entry.run, region, 0)
+            await nursery.start(other_entry.run, region, 5)
             await trio.sleep(5)
             assert all(a.servers.servers_of("kit-assistant") for a in region.agents)
-            # The link between the two agents of the zone went silent just now.
+            # The link between the two agents of the zone has just become silent.
             region.network.silence(region.host(0), region.host(1))
             await link.send(LeavingMark("e1", 0.0, "server"))
-            await region.until(lambda: hearer.marks, 1)
+            await region.wait_until(lambda: other_entry.marks, 1)
             tables = [agent.servers for agent in region.agents]
-            await region.until(
+            await region.wait_until(
                 lambda: all(table.leaving_of("kit-assistant") for table in tables), 1
             )
             await trio.sleep(20)
             assert not any(table.servers_of("kit-assistant") for table in tables)
             nursery.cancel_scope.cancel()
 
-    async def test_mark_made_up_for_after_a_cut(self, autojump_clock):
-        """A zone is cut off from all else when the mark spreads, then healed."""
+    async def test_mark_is_received_after_a_partition(self, autojump_clock):
+        """A zone is partitioned while the mark is distributed, then reconnected."""
         async with trio.open_nursery() as nursery:
             region = Region(nursery)
             region.platform.add_instance(server("e1"))
@@ -273,7 +271,7 @@
             for pair in pairs:
                 region.network.heal(*pair)
             far = region.agents[4:]
-            await region.until(
+            await region.wait_until(
                 lambda: all(a.servers.leaving_of("kit-assistant") for a in far), 15
             )
             nursery.cancel_scope.cancel()
@@ -281,10 +279,10 @@
 
 class TestEntries:
     async def test_silent_entry_link_is_dropped(self, autojump_clock):
-        """An entry's connection goes silent for good; the entry opens a new one.
+        """The connection of an entry goes silent, and the entry opens a new one.
 
-        The agent hears no end of the old one. It must not keep it, or each planned
-        stop would wait for an entry that is not there.
+        The agent is not notified that the old one closed. It must drop it, or each
+        graceful shutdown would wait for an entry that no longer exists.
         """
         async with trio.open_nursery() as nursery:
             region = Region(nursery, 1)
@@ -300,14 +298,16 @@
 
 
 class TestOperators:
-    async def test_status_explain_and_who_may_ask(self, autojump_clock):
+    async def test_status_explain_and_permissions(self, autojump_clock):
         async with trio.open_nursery() as nursery:
             region = Region(nursery, 3)
             region.platform.add_instance(server("e1"))
             await region.start()
             await region.patch(0, first_patch(), 0, BOOTSTRAP)
             await trio.sleep(3)
-            body = (await region.ask(1, "GET", "/v1/status", VIEWER_KEY)).json()
+            body = (
+                await region.send_request(1, "GET", "/v1/status", VIEWER_KEY)
+            ).json()
             assert [peer["name"] for peer in body["peers"]] == ["node-0", "node-2"]
             assert body["configuration"]["number"] == 1
             assert body["servers"][0]["count"] == 1
@@ -318,24 +318,27 @@
             decision = Decision("2026-12-02T12:00:00Z", "route", "chose e1", {})
             DECISIONS.add("request-of-this-test", decision)
             path = "/v1/explain/request-of-this-test"
-            story = (await region.ask(1, "GET", path, VIEWER_KEY)).json()
-            assert {d["node"] for d in story["decisions"]} == {
+            explanation = (await region.send_request(1, "GET", path, VIEWER_KEY)).json()
+            assert {d["node"] for d in explanation["decisions"]} == {
                 "node-0",
                 "node-1",
                 "node-2",
             }
-            assert story["not_reached"] == []
-            refused = await region.ask(1, "POST", "/v1/drain", VIEWER_KEY, json={})
+            assert explanation["not_reached"] == []
+            refused = await region.send_request(
+                1, "POST", "/v1/drain", VIEWER_KEY, json={}
+            )
             assert refused.status_code == 403
-            metrics = await region.ask(1, "GET", "/metrics")
+            metrics = await region.send_request(1, "GET", "/metrics")
             assert "rosemaryknot_peers_linked" in metrics.text
             nursery.cancel_scope.cancel()
 
     async def test_drain_of_another_node(self, autojump_clock):
         """An operator drains node-2 through node-0.
 
-        Its entry is told first and ends on its own; its agent stays until the entry
-        has gone, hands over, says goodbye and ends. Nobody suspects it.
+        Its entry is notified first and exits on its own. Its agent waits until the
+        entry disconnected, hands over, announces that it leaves, and exits. No node
+        suspects it.
         """
         async with trio.open_nursery() as nursery:
             region = Region(nursery, 3)
@@ -344,10 +347,12 @@
             entry = FakeEntry()
             await nursery.start(entry.run, region, 2)
             await trio.sleep(3)
-            answer = await region.ask(0, "POST", "/v1/drain", json={"node": "node-2"})
-            assert answer.status_code == 202
-            assert answer.json()["entries"] == 1
-            await region.until(lambda: region.ended == [2], 20)
+            response = await region.send_request(
+                0, "POST", "/v1/drain", json={"node": "node-2"}
+            )
+            assert response.status_code == 202
+            assert response.json()["entries"] == 1
+            await region.wait_until(lambda: region.ended == [2], 20)
             assert entry.drains == 1
             await trio.sleep(1)
             assert [n.name for n in region.agents[0].peers.nodes()] == ["node-1"]
@@ -355,13 +360,13 @@
             nursery.cancel_scope.cancel()
 
 
-class TestStop:
-    async def test_platform_is_asked_while_connections_close(self, autojump_clock):
-        """An agent stops, and closing its connections to the platform takes a while.
+class TestShutdown:
+    async def test_slow_close_of_platform_connections(self, autojump_clock):
+        """An agent shuts down, and closing its platform connections takes a while.
 
-        The tasks that ask the platform each second must have ended before: one that
-        meets a closed client raises, and the process ends with a failure after a
-        planned stop that handed everything over.
+        The tasks that call the platform each second must have ended before. A task
+        that uses a closed client raises an error, and the process would exit with a
+        failure after a graceful shutdown that handed over everything.
         """
         async with trio.open_nursery() as nursery:
             region = Region(nursery, 1)
--- a/tests/process/test_claims_operators.py
+++ b/tests/process/test_claims_operators.py
@@ -12,7 +12,7 @@
 from rosemaryknot.connection.http_server import HttpServer
 from rosemaryknot.connection.memory_network import MemoryNetwork
 from rosemaryknot.process import admin_main, admin_shards
-from rosemaryknot.process.admin import AgentOptions, ask_agent
+from rosemaryknot.process.admin import AgentOptions, request_agent
 from rosemaryknot.process.claims.operators_api import ShardsApi
 from rosemaryknot.process.command_line import ExitCode
 from rosemaryknot.process.configuration import ConfigurationHolder
@@ -50,7 +50,7 @@
     async def call(self, method, path, key=EDITOR_KEY, **body):
         options = AgentOptions(AGENT, key)
         content = json.dumps(body).encode() if body else None
-        return await ask_agent(self.network, options, method, path, {}, content)
+        return await request_agent(self.network, options, method, path, {}, content)
 
     def shards_of_stopped_owner(self) -> int:
         shards = self.cluster.claims("b-1").maps.map.shards
--- a/tests/process/test_command_line.py
+++ b/tests/process/test_command_line.py
@@ -1,4 +1,4 @@
-"""Command lines: exit codes, no traceback for bad input, and planned stops."""
+"""Command lines: exit codes, no traceback for bad input, and graceful shutdown."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 from rosemaryknot.connection.memory_network import MemoryNetwork
 from rosemaryknot.process import admin_main, agent_main, entry_main
-from rosemaryknot.process.admin import AgentOptions, NoAnswer, ask_agent
+from rosemaryknot.process.admin import AgentOptions, NoResponse, request_agent
 from rosemaryknot.process.command_line import ExitCode, run_process
 from rosemaryknot.process.settings import Settings
 from rosemaryknot.values.nodes import Address
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def settings_file(tmp_path):
-    """Return whole settings of a node without listeners."""
+    """Return the path of valid settings of a node without listeners."""
     path = tmp_path / "settings.json"
     names = {"node": "waco-a-1", "zone": "waco-a", "region": "tx-central"}
     path.write_text(json.dumps(names | {"cluster_key_env": "TEST_CLUSTER_KEY"}))
@@ -68,7 +68,7 @@
 
 
 class TestCheckSettings:
-    def test_whole_settings_without_their_secret(self, settings_file):
+    def test_valid_settings_without_their_secret(self, settings_file):
         arguments = ["check-settings", settings_file]
         result = run(admin_main.application, *arguments, TEST_CLUSTER_KEY=KEY)
         assert result.exit_code == ExitCode.OK
@@ -83,19 +83,19 @@
 
 
 class TestRunProcess:
-    def test_first_signal_asks_for_the_planned_stop(self):
-        ended = []
+    def test_first_signal_requests_graceful_shutdown(self):
+        completed = []
 
         async def async_main(settings, stop, network):
             os.kill(os.getpid(), signal.SIGTERM)
             await stop.wait()
             await trio.sleep(0)
-            ended.append("whole")
+            completed.append("main")
 
         assert run_process(async_main, SETTINGS) == ExitCode.OK
-        assert ended == ["whole"]
+        assert completed == ["main"]
 
-    def test_second_signal_cuts_the_wait_short(self):
+    def test_second_signal_aborts_the_wait(self):
         async def async_main(settings, stop, network):
             os.kill(os.getpid(), signal.SIGTERM)
             await stop.wait()
@@ -104,7 +104,7 @@
 
         assert run_process(async_main, SETTINGS) == ExitCode.FAILED
 
-    def test_address_that_is_not_ours(self, capfd):
+    def test_address_of_another_machine(self, capfd):
         async def async_main(settings, stop, network):
             await network.listen(Address("192.0.2.1", 8100), None)
 
@@ -119,49 +119,55 @@
             run_process(async_main, SETTINGS)
 
 
-class TestAskAgent:
-    """The operator's change and the agent that dies with it."""
+class TestRequestAgent:
+    """Changes that are submitted to an agent that fails or does not respond."""
 
-    async def ask(self, method, handler=None):
+    async def request_exit_code(self, method, handler=None):
         network = MemoryNetwork()
         options = AgentOptions(AGENT, KEY)
         async with trio.open_nursery() as nursery:
             if handler is not None:
-                far = network.with_host(AGENT.host)
-                await nursery.start(far.listen, AGENT, handler)
-            answer = await ask_agent(network, options, method, "/v1/configuration")
+                agent_network = network.with_host(AGENT.host)
+                await nursery.start(agent_network.listen, AGENT, handler)
+            response = await request_agent(
+                network, options, method, "/v1/configuration"
+            )
             nursery.cancel_scope.cancel()
-        assert isinstance(answer, NoAnswer)
-        assert KEY not in answer.detail
-        return answer.code
+        assert isinstance(response, NoResponse)
+        assert KEY not in response.detail
+        return response.code
 
-    async def test_nobody_listens(self, autojump_clock):
-        assert await self.ask("PATCH") == ExitCode.UNREACHABLE
+    async def test_no_listener(self, autojump_clock):
+        assert await self.request_exit_code("PATCH") == ExitCode.UNREACHABLE
 
-    async def test_lost_answer_of_a_change_is_unknown(self, autojump_clock):
-        """The agent reads a patch, applies it and dies before it answers.
+    async def test_lost_response_to_change_is_unknown(self, autojump_clock):
+        """The agent reads a patch, applies it and fails before it responds.
 
-        The command must not say "failed", since the operator would then send the
-        change again on top of itself. A lost read changes nothing.
+        The command must not report "failed", since the operator would then submit the
+        change a second time. The loss of a read changes nothing.
         """
 
-        async def read_and_die(stream):
+        async def read_and_fail(stream):
             await stream.receive_some(4096)
             stream.kill()
 
-        assert await self.ask("PATCH", read_and_die) == ExitCode.UNKNOWN
-        assert await self.ask("GET", read_and_die) == ExitCode.UNREACHABLE
+        assert await self.request_exit_code("PATCH", read_and_fail) == ExitCode.UNKNOWN
+        assert (
+            await self.request_exit_code("GET", read_and_fail) == ExitCode.UNREACHABLE
+        )
 
-    async def test_silent_agent_ends_in_time(self, autojump_clock):
-        async def stay_silent(stream):
+    async def test_silent_agent_times_out(self, autojump_clock):
+        async def never_respond(stream):
             await trio.sleep_forever()
 
-        assert await self.ask("PATCH", stay_silent) == ExitCode.UNKNOWN
+        assert await self.request_exit_code("PATCH", never_respond) == ExitCode.UNKNOWN
 
     async def test_other_program_at_the_address(self, autojump_clock):
-        async def talk_otherwise(stream):
+        async def send_other_response(stream):
             await stream.receive_some(4096)
             await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")
             await trio.sleep_forever()
 
-        assert await self.ask("GET", talk_otherwise) == ExitCode.FAILED
+        assert (
+            await self.request_exit_code("GET", send_other_response) == ExitCode.FAILED
+        )
--- a/tests/process/test_configuration_distributor.py
+++ b/tests/process/test_configuration_distributor.py
@@ -61,7 +61,7 @@
         async def main(region: Region) -> float:
             await region.start(7)
             accepting = region.agents[3]
-            accepting.store.take = lambda *_: accepting.host.kill()
+            accepting.store.apply_accepted = lambda *_: accepting.host.kill()
             region.nursery.start_soon(accepting.submit, 1, 3)
             await trio.sleep(0.5)
             assert accepting.host.is_dead
@@ -76,7 +76,7 @@
         async def main(region: Region) -> float:
             await region.start(7)
             accepting = region.agents[3]
-            accepting.store.take = lambda *_: accepting.host.kill()
+            accepting.store.apply_accepted = lambda *_: accepting.host.kill()
             region.standin.faults.watch_gaps = 100
             region.nursery.start_soon(accepting.submit, 1, 3)
             await trio.sleep(0.5)
@@ -94,7 +94,7 @@
         async def main(region: Region) -> float:
             await region.start(1)
             agent = region.agents[0]
-            agent.watcher.rank = lambda: 1
+            agent.watcher.watcher_index = lambda: 1
             region.standin.silence_watches()
             other = region.add(1)
             other.distributor.peers_queried = trio.Event()
--- a/tests/process/test_decisions.py
+++ b/tests/process/test_decisions.py
@@ -1,16 +1,16 @@
-"""The memory of decisions that `explain` reads."""
+"""Tests of the decision log that `explain` reads."""
 
 import os
 
 import pytest
 
-from rosemaryknot.process.decisions import DECISIONS, Decision, DecisionMemory
+from rosemaryknot.process.decisions import DECISIONS, Decision, DecisionLog
 from rosemaryknot.process.logs import configure_logs, logger
 
 
 @pytest.fixture
-def quiet_logs():
-    """Write info lines nowhere, and go back to the usual level afterwards."""
+def discarded_logs():
+    """Discard info lines during a test, and restore the default level afterwards."""
     null = os.open(os.devnull, os.O_WRONLY)
     configure_logs(level="info", fd=null)
     yield
@@ -18,22 +18,22 @@
     os.close(null)
 
 
-class TestDecisionMemory:
-    def test_log_lines_of_a_request_are_remembered(self, quiet_logs):
-        """Also beyond the limit on repeated lines: the story must have no holes."""
+class TestDecisionLog:
+    def test_log_lines_of_a_request_are_recorded(self, discarded_logs):
+        """Lines above the repeat limit are recorded too, so that none are missing."""
         for number in range(20):
             logger("route").warning("refused", request="r-story", server=number)
         logger("route").info("no request here")
-        story = DECISIONS.of("r-story")
-        assert [d.fields["server"] for d in story] == [str(n) for n in range(20)]
-        assert story[0].part == "route" and story[0].text == "refused"
+        decisions = DECISIONS.of("r-story")
+        assert [d.fields["server"] for d in decisions] == [str(n) for n in range(20)]
+        assert decisions[0].part == "route" and decisions[0].text == "refused"
 
     def test_bounded(self, monkeypatch):
         monkeypatch.setattr("rosemaryknot.process.decisions.MAX_REQUESTS", 3)
         monkeypatch.setattr("rosemaryknot.process.decisions.MAX_DECISIONS", 2)
-        memory = DecisionMemory()
+        log = DecisionLog()
         for request in ("r1", "r2", "r3", "r4"):
             for number in range(5):
-                memory.add(request, Decision("", "route", str(number)))
-        assert memory.of("r1") == []
-        assert [decision.text for decision in memory.of("r4")] == ["0", "1"]
+                log.add(request, Decision("", "route", str(number)))
+        assert log.of("r1") == []
+        assert [decision.text for decision in log.of("r4")] == ["0", "1"]
--- a/tests/process/test_drain.py
+++ b/tests/process/test_drain.py
@@ -9,7 +9,7 @@
 import httpx
 import pytest
 import trio
-from tests.process.entry_fleet import API_KEY, booking, chat, whole_fleet
+from tests.process.entry_fleet import API_KEY, booking, chat, start_fleet
 from tests.request.relay_fleet import events_of
 
 from rosemaryknot.process.drain import Drain
@@ -32,7 +32,7 @@
         The instance becomes unready immediately and refuses new work with a response.
         The three requests complete before the process ends.
         """
-        fleet = await whole_fleet(nursery, not_ready_s=0.0)
+        fleet = await start_fleet(nursery, not_ready_s=0.0)
         for plain in fleet.plains.values():
             plain.faults.append(PlainFault("late", late_s=1.5))
         streams, booked = ([], []), []
@@ -75,7 +75,7 @@
         closed port until its next probe. The instance refuses them with a response for
         that time, and then ends.
         """
-        fleet = await whole_fleet(nursery, not_ready_s=2.0)
+        fleet = await start_fleet(nursery, not_ready_s=2.0)
         async with fleet.caller() as caller:
             fleet.stops[0].set()
             await trio.sleep(1.9)
@@ -87,7 +87,7 @@
 
     async def test_accepted_without_a_caller(self, nursery, autojump_clock):
         """An accepted request completes although its caller has disconnected."""
-        fleet = await whole_fleet(nursery, not_ready_s=0.0)
+        fleet = await start_fleet(nursery, not_ready_s=0.0)
         async with fleet.caller() as caller:
             response = await caller.post(
                 CHAT, json=chat(800), headers={"Prefer": "respond-async"}
@@ -96,7 +96,7 @@
         generation = fleet.entries[0].relay.table.find("estimator-1", request_id)
         fleet.stops[0].set()
         await fleet.ended[0].wait()
-        events = [e async for part in generation.follow() for e in events_of(part)]
+        events = [e async for part in generation.subscribe() for e in events_of(part)]
         assert events[-2]["outcome"] == "answered"
 
     async def test_second_signal(self, nursery, autojump_clock):
@@ -105,7 +105,7 @@
         The process ends immediately. The caller's stream breaks off in the middle of
         its framing, which no client mistakes for the end of a response.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         async with (
             fleet.caller() as caller,
             caller.stream("POST", CHAT, json=chat(4000)) as response,
@@ -123,7 +123,7 @@
         The part that does not fit into the buffers of the connection is still in the
         process, which must not end before it is written.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         async with (
             fleet.caller() as caller,
             caller.stream("POST", CHAT, json=chat(4000)) as response,
@@ -140,7 +140,7 @@
         shutdown would wait for it indefinitely. The connection is closed instead, and
         the process ends well within the timeout of the drain.
         """
-        fleet = await whole_fleet(nursery, drain_timeout_s=500.0)
+        fleet = await start_fleet(nursery, drain_timeout_s=500.0)
         body = json.dumps(chat(4000)).encode()
         head = (
             f"POST {CHAT} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {API_KEY}\r\n"
@@ -156,7 +156,7 @@
 
     async def test_timeout(self, nursery, autojump_clock):
         """A booking hangs at its server: the shutdown continues after its timeout."""
-        fleet = await whole_fleet(nursery, drain_timeout_s=2.0)
+        fleet = await start_fleet(nursery, drain_timeout_s=2.0)
         for plain in fleet.plains.values():
             plain.faults.append(PlainFault("silent_after"))
 
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -203,7 +203,7 @@
 
 class TestLostMessages:
     @pytest.mark.parametrize(
-        ("kind", "share"), [("BudgetTransfer", 0.5), ("BudgetAsk", 0.1)]
+        ("kind", "share"), [("BudgetTransfer", 0.5), ("BudgetRequest", 0.1)]
     )
     async def test_lost_response_creates_no_budget(
         self, autojump_clock, fleet, kind, share
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: what a line looks like, and that logging never harms the caller."""
+"""Tests of the log line format, and that logging never affects the caller."""
 
 import json
 import os
@@ -12,14 +12,14 @@
 
 
 class Pipe:
-    """A pipe that takes the log, with its reading end."""
+    """A pipe that receives the log, and its read end."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
         os.set_blocking(self.reader, False)
 
     def lines(self) -> list[str]:
-        """Return the lines written since the last call."""
+        """Return the lines written since the previous call."""
         data = b""
         try:
             while chunk := os.read(self.reader, 1 << 20):
@@ -30,7 +30,7 @@
 
 
 class Clock:
-    """Monotonic time that a test moves."""
+    """A monotonic clock that a test controls."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
@@ -40,7 +40,7 @@
 
 
 class Unprintable:
-    """A value whose text cannot be made."""
+    """A value that cannot be converted to text."""
 
     def __str__(self) -> str:
         raise RuntimeError
@@ -48,30 +48,30 @@
 
 @pytest.fixture
 def pipe():
-    """Return a pipe that the process logs to."""
-    taken = Pipe()
-    logs.configure_logs(fd=taken.writer)
-    yield taken
+    """Return a pipe to which the process logs."""
+    pipe_to_logs = Pipe()
+    logs.configure_logs(fd=pipe_to_logs.writer)
+    yield pipe_to_logs
     logs.configure_logs(level="warning")
-    os.close(taken.writer)
-    os.close(taken.reader)
+    os.close(pipe_to_logs.writer)
+    os.close(pipe_to_logs.reader)
 
 
 class TestLines:
-    def test_text_for_people(self, pipe):
+    def test_text_format(self, pipe):
         logs.logger("route").info("chose waco-a-e1", request="r1", score=1.5)
         [line] = pipe.lines()
         _, rest = line.split(" ", 1)
         assert rest == "info route: chose waco-a-e1 request=r1 score=1.5"
 
-    def test_json_for_programs(self, pipe):
+    def test_json_format(self, pipe):
         logs.configure_logs("json", fd=pipe.writer)
         logs.logger("route").info("chose waco-a-e1", request="r1", scores={"e1": 1.5})
         [line] = map(json.loads, pipe.lines())
         assert line["part"] == "route"
         assert line["scores"] == {"e1": 1.5}
 
-    def test_line_break_in_a_value_forges_no_line(self, pipe):
+    def test_line_breaks_are_escaped(self, pipe):
         logs.logger("route").info("bad\n2026 info admin: x", name="a\n2026 info admin:")
         assert len(pipe.lines()) == 1
 
@@ -87,8 +87,8 @@
 
 
 class TestLineWriter:
-    def test_bound_in_a_second(self, pipe):
-        """Many requests write many lines; the bound drops some and counts them."""
+    def test_rate_limit(self, pipe):
+        """Lines above the rate limit are dropped and counted."""
         now_s = 7.2
         writer = logs.LineWriter(pipe.writer, 3, lambda: now_s)
         for number in range(5):
@@ -100,49 +100,49 @@
         assert pipe.lines() == ["next second"]
 
 
-class TestEndOfAProcess:
-    def test_last_lines_of_a_busy_second(self, pipe):
-        """A busy node stops, and its second's lines are used up.
+class TestProcessExit:
+    def test_last_lines_above_the_rate_limit(self, pipe):
+        """A busy node shuts down after using up the line limit of the current second.
 
-        Its last lines, which name the answers that it cuts, were dropped, and no line
-        followed that could tell how many. From the end of a stop on there is room for
-        some more.
+        Its last lines, which list the responses that it aborts, were dropped, and no
+        later line reported their number. From the end of a shutdown on, some lines are
+        buffered.
         """
         logs.configure_logs(fd=pipe.writer, max_lines_per_s=1)
         log = logs.logger("node")
         for number in range(3):
             log.info("answered", request=f"r{number}")
-        logs.hold_lines()
-        log.info("cut off", request="r9")
+        logs.buffer_lines()
+        log.info("response aborted", request="r9")
         log.info("stopped", cut_off=1)
         logs.flush_lines()
-        *_, cut, stopped = pipe.lines()
-        assert "cut off" in cut and "lines_lost=2" in cut
+        *_, aborted, stopped = pipe.lines()
+        assert "response aborted" in aborted and "lines_lost=2" in aborted
         assert "stopped" in stopped
 
-    def test_reader_that_is_behind(self, pipe):
-        """The collector is behind when a node stops, and reads on a moment later.
+    def test_slow_reader(self, pipe):
+        """The log collector lags when a node shuts down, and continues shortly after.
 
-        The pipe was full at the last line, so it was dropped. It is held and written
-        once the process has nothing else to do.
+        The pipe was full at the last line, so the line was dropped. It must be
+        buffered and written once the process has no other work.
         """
         log = logs.logger("node")
         for number in range(1000):
             log.info("answered", request="r" * 100, number=number)
-        logs.hold_lines()
+        logs.buffer_lines()
         log.info("stopped", cut_off=1)
         assert "stopped" not in pipe.lines()[-1]
         logs.flush_lines()
         [stopped] = pipe.lines()
         assert "stopped cut_off=1" in stopped
 
-    def test_process_ends_with_the_lines_that_are_held(self, pipe):
-        """The collector reads on when the main of a process has already returned."""
+    def test_buffered_lines_are_written_at_exit(self, pipe):
+        """The collector continues after the main function of a process has returned."""
 
         async def main(settings, stop, network):
             for number in range(1000):
                 log.info("answered", request="r" * 100, number=number)
-            logs.hold_lines()
+            logs.buffer_lines()
             log.info("stopped", cut_off=1)
             assert "stopped" not in pipe.lines()[-1]
 
@@ -151,30 +151,30 @@
         [stopped] = pipe.lines()
         assert "stopped cut_off=1" in stopped
 
-    def test_reader_that_never_reads(self, pipe):
-        """The collector hangs for good; the process has to end all the same."""
+    def test_unresponsive_reader_does_not_block_exit(self, pipe):
+        """The collector hangs permanently; the process must still exit."""
         log = logs.logger("node")
         for number in range(1000):
             log.info("answered", request="r" * 100, number=number)
-        logs.hold_lines()
-        began_s = time.monotonic()
+        logs.buffer_lines()
+        started_s = time.monotonic()
         for number in range(1000):
-            log.info("cut off", request="r" * 100, number=number)
+            log.info("response aborted", request="r" * 100, number=number)
         logs.flush_lines()
-        assert time.monotonic() - began_s < 1
+        assert time.monotonic() - started_s < 1
         os.close(pipe.reader)
         pipe.reader = os.open(os.devnull, os.O_RDONLY)
         log.info("stopped")
         logs.flush_lines()
 
 
-class TestHarmless:
-    def test_reader_that_stops_reading(self, pipe):
-        """The log collector hangs, and every caller's stream freezes with it.
+class TestRobustness:
+    def test_full_pipe_does_not_block(self, pipe):
+        """The log collector hangs and must not block the streams of callers.
 
-        The pipe fills up, the next write blocks the one thread of the process, and
-        all requests wait for the collector. So a line that does not fit is dropped,
-        and the first one that fits again tells how many are missing.
+        The pipe fills up, the next write would block the only thread of the process,
+        and all requests would wait for the collector. A line that does not fit is
+        therefore dropped, and the next line that fits reports how many are missing.
         """
         log = logs.logger("route")
         for number in range(1000):
@@ -184,49 +184,49 @@
         log.info("chose waco-a-e1", request="r1")
         assert pipe.lines()[0].endswith(f"lines_lost={1000 - len(written)}")
 
-    def test_reader_that_is_gone(self):
-        taken = Pipe()
-        logs.configure_logs(fd=taken.writer)
-        os.close(taken.reader)
+    def test_closed_pipe(self):
+        pipe_to_logs = Pipe()
+        logs.configure_logs(fd=pipe_to_logs.writer)
+        os.close(pipe_to_logs.reader)
         logs.logger("route").info("chose waco-a-e1")
-        os.close(taken.writer)
+        os.close(pipe_to_logs.writer)
         logs.logger("route").info("chose waco-a-e1")
         logs.configure_logs(level="warning")
 
-    def test_value_without_text(self, pipe):
+    def test_unprintable_value(self, pipe):
         log = logs.logger("route")
         log.info("chose waco-a-e1", server=Unprintable())
-        log.info("went on")
+        log.info("next line")
         [line] = pipe.lines()
-        assert line.endswith("route: went on lines_lost=1")
+        assert line.endswith("route: next line lines_lost=1")
 
 
 class TestRepeatLimit:
     @pytest.fixture
     def clock(self, pipe, monkeypatch):
-        """Return the clock of the limit that is set up."""
+        """Return the clock of the configured repeat limit."""
         clock = Clock()
         monkeypatch.setattr(logs.RepeatLimit.__init__, "__defaults__", (clock,))
         logs.configure_logs(fd=pipe.writer)
         return clock
 
-    def test_repeats_are_counted_instead_of_written(self, pipe, clock):
-        """An engine refuses every request, and the log shows nothing else.
+    def test_repeats_are_suppressed(self, pipe, clock):
+        """An engine refuses every request, which would flood the log.
 
-        Ten lines of one text pass in ten seconds; the rest is counted, and the
-        count is told once the window is over, by whatever line comes next.
+        Ten lines of one text are written in ten seconds. The rest is counted, and the
+        count is reported before the next line after the window is over.
         """
         log = logs.logger("route")
         for _ in range(25):
             log.warning("engine refused", request="r1")
-        assert len(pipe.lines()) == logs.REPEATS
-        clock.now_s = logs.WINDOW_S + 1
+        assert len(pipe.lines()) == logs.MAX_REPEATS
+        clock.now_s = logs.REPEAT_WINDOW_S + 1
         log.warning("another text")
         summary, other = pipe.lines()
-        assert "left out repeats of: engine refused left_out=15" in summary
+        assert "suppressed repeats of: engine refused left_out=15" in summary
         assert other.endswith("another text")
 
-    def test_decisions_are_never_left_out(self, pipe, clock):
+    def test_decisions_are_never_suppressed(self, pipe, clock):
         for number in range(50):
             logs.logger("route").info("chose waco-a-e1", request=f"r{number}")
         assert len(pipe.lines()) == 50
@@ -234,7 +234,7 @@
     def test_table_of_texts_is_bounded(self, pipe, clock):
         limit = logs.RepeatLimit(logs.render_text)
         writer = logs.LineWriter(pipe.writer)
-        for number in range(3 * logs.MAX_TEXTS):
+        for number in range(3 * logs.MAX_TRACKED_TEXTS):
             event = {"part": "link", "event": f"lost {number}", "level": "warning"}
             limit(writer, "warning", event | {"timestamp": "now"})
-        assert len(limit.texts) <= logs.MAX_TEXTS
+        assert len(limit.texts) <= logs.MAX_TRACKED_TEXTS
--- a/tests/process/test_metrics.py
+++ b/tests/process/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: declared once, rendered as text, and harmless when they fail."""
+"""Tests of the declaration, rendering and error handling of metrics."""
 
 import pytest
 
@@ -7,19 +7,19 @@
 
 @pytest.fixture
 def counter():
-    """Return a counter that ends with the test."""
-    made = metrics.counter("test_requests_total", "Requests of a test.")
-    yield made
-    del metrics.METRICS[made.collector.name]
-    metrics.REGISTRY.deregister(made.collector.name)
+    """Return a counter that is removed after the test."""
+    metric = metrics.counter("test_requests_total", "Requests of a test.")
+    yield metric
+    del metrics.METRICS[metric.collector.name]
+    metrics.REGISTRY.deregister(metric.collector.name)
 
 
 class TestDeclaration:
-    def test_one_object_for_a_name(self, counter):
+    def test_same_name_returns_same_object(self, counter):
         assert metrics.counter("test_requests_total", "Again.") is counter
 
-    def test_another_kind_under_the_name(self, counter):
-        with pytest.raises(ValueError, match="another kind"):
+    def test_same_name_with_another_type(self, counter):
+        with pytest.raises(ValueError, match="another type"):
             metrics.gauge("test_requests_total", "Mistaken.")
 
 
@@ -30,11 +30,11 @@
         assert b'rosemaryknot_test_requests_total{zone="waco-a"} 2\n' in body
         assert content_type.startswith("text/plain")
 
-    def test_failing_update_reaches_nobody(self, counter):
-        """A handler counts with a label that the library refuses.
+    def test_failing_update_raises_no_error(self, counter):
+        """A handler updates a counter with a label value that the library rejects.
 
-        The library raises, and the caller's request would end with the metric's
-        error. The update is dropped and the other series go on.
+        The library raises an error, which would abort the request of the caller. The
+        update is dropped, and other series are still updated.
         """
         counter.add(-1)
         counter.add(job="reserved")
@@ -42,10 +42,11 @@
         counter.add(zone="waco-a")
         assert counter.value(zone="waco-a") == 1
 
-    def test_label_that_follows_input(self, counter):
-        """A label with a new value for each request fills memory and each scrape.
+    def test_number_of_series_is_limited(self, counter):
+        """A label with a new value for each request would exhaust the memory.
 
-        Series beyond the bound are dropped; those that are known still count.
+        It would also slow down each scrape. Series above the limit are dropped;
+        existing ones are still updated.
         """
         for number in range(2 * metrics.MAX_SERIES):
             counter.add(path=f"/{number}")
--- a/tests/process/test_peer_forwarding.py
+++ b/tests/process/test_peer_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of calls that other nodes pass on."""
+"""Tests of calls that are forwarded through other nodes."""
 
 import trio
 import trio.testing
@@ -15,7 +15,7 @@
 
 
 class SlowLink:
-    """A link whose other end refuses a call, just after its time is over."""
+    """A link whose other end refuses a call just after its timeout."""
 
     def __init__(self):
         self.timeouts_s = []
@@ -42,22 +42,22 @@
     )
 
 
-class TestTimeIsOver:
-    async def test_no_second_way_without_time(self, autojump_clock):
-        """A node is asked through another one, which refuses just after the time.
+class TestTimeout:
+    async def test_no_second_route_after_timeout(self, autojump_clock):
+        """A call is forwarded through a node that refuses just after the timeout.
 
-        The call went on to the next way with a time below zero, which ended the
-        process. It is over instead, and certain not to have been handled.
+        The call was then forwarded on the next route with a negative timeout, which
+        ended the process. It must fail instead, as certainly not handled.
         """
         links = {"n1": SlowLink(), "n2": SlowLink()}
-        outcome = await forwarder(links).call("n3", PeerProbe(), 1.0, around=True)
+        outcome = await forwarder(links).call("n3", PeerProbe(), 1.0, skip_direct=True)
         assert isinstance(outcome, CallFailed) and not outcome.maybe_handled
-        asked = [len(link.timeouts_s) for link in links.values()]
-        assert sorted(asked) == [0, 1]
+        call_counts = [len(link.timeouts_s) for link in links.values()]
+        assert sorted(call_counts) == [0, 1]
 
 
-class TestForeignFrames:
-    """Whatever fields a frame of another node has, the process goes on."""
+class TestMalformedEnvelopes:
+    """Envelopes with arbitrary fields from other nodes do not end the process."""
 
     @given(
         timeout_s=st.one_of(st.floats(), st.integers(), st.text(), st.none()),
@@ -76,5 +76,5 @@
                 return await forwarder(links).handle(envelope, None)
             return None
 
-        answer = trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
-        assert answer is None or isinstance(answer, PeerForwarded)
+        response = trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
+        assert response is None or isinstance(response, PeerForwarded)
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -1,4 +1,4 @@
-"""Membership: peers find each other, and lose and find each other again."""
+"""Tests of cluster membership: discovery, failure detection and recovery."""
 
 import random
 from dataclasses import dataclass
@@ -8,8 +8,8 @@
 
 from rosemaryknot.connection.links import CallFailed, Handlers
 from rosemaryknot.connection.memory_network import MemoryNetwork
-from rosemaryknot.process.peer_links import LinkPlan, relays_of
-from rosemaryknot.process.peer_table import FORGET_S
+from rosemaryknot.process.peer_links import LinkPlan, select_relays
+from rosemaryknot.process.peer_table import RECORD_TTL_S
 from rosemaryknot.process.peers import PeerSet
 from rosemaryknot.replay.hosts import Host, HostInstrument
 from rosemaryknot.values.messages import Message, message
@@ -22,7 +22,7 @@
 @message("test_ping")
 @dataclass(slots=True)
 class Ping(Message):
-    """A call of these tests; the answer names both ends."""
+    """A test call; the response contains the names of both ends."""
 
     kind: ClassVar[str]
     text: str = ""
@@ -50,7 +50,7 @@
         zone = ZONES[int(name[1:]) % 3]
 
         @handlers.on(Ping)
-        async def answer(value: Ping, link) -> Ping:
+        async def handle_ping(value: Ping, link) -> Ping:
             if value.text == "slow":
                 await trio.sleep(20)
             return Ping(f"{link.hello.name}>{name}")
@@ -74,53 +74,55 @@
         await self.hosts[name].run(peers.run, task_status)
 
     def kill(self, name: str) -> None:
-        """End a node as a kill does."""
+        """Terminate a node without a graceful shutdown."""
         self.hosts[name].scope.cancel()
         self.network.kill_host(self.host(name))
 
-    def views(self) -> dict[str, list[str]]:
+    def memberships(self) -> dict[str, list[str]]:
         return {
             name: [node.name for node in peers.nodes()]
             for name, peers in self.sets.items()
         }
 
-    def is_whole(self) -> bool:
-        """Tell whether everybody sees everybody."""
-        return all(len(view) == len(self.sets) - 1 for view in self.views().values())
+    def is_converged(self) -> bool:
+        """Return whether all nodes see all others as live."""
+        return all(
+            len(view) == len(self.sets) - 1 for view in self.memberships().values()
+        )
 
-    async def until_whole(self, bound_s: float) -> float:
-        """Wait until everybody sees everybody; return how long it took."""
+    async def wait_converged(self, timeout_s: float) -> float:
+        """Wait for convergence; return the elapsed time in seconds."""
         start_s = trio.current_time()
-        with trio.fail_after(bound_s):
-            while not self.is_whole():
+        with trio.fail_after(timeout_s):
+            while not self.is_converged():
                 await trio.sleep(0.1)
         return trio.current_time() - start_s
 
 
-async def whole_fleet(
+async def start_fleet(
     nursery: trio.Nursery, size: int, plan: LinkPlan | None = None
 ) -> Fleet:
-    """Start nodes and wait until all see all."""
+    """Start nodes and wait until their memberships converge."""
     fleet = Fleet(nursery, plan)
     for number in range(1, size + 1):
         await fleet.start(f"n{number}")
-    await fleet.until_whole(20)
+    await fleet.wait_converged(20)
     return fleet
 
 
-class TestQuiet:
-    """What nodes send each other when nothing happens."""
+class TestIdleFleet:
+    """Traffic between nodes when the membership does not change."""
 
-    async def test_tables_that_agree_are_not_sent_again(self, autojump_clock):
-        """Twelve nodes know each other, partly by links and partly by hearsay.
+    async def test_equal_tables_are_not_sent_again(self, autojump_clock):
+        """Twelve nodes know each other, partly by links and partly by gossip.
 
-        Nodes compare digests every few seconds. If the digest told how a record
-        came, the tables would never agree: every comparison would send all of them,
-        without end, and the cost would grow with the square of the fleet.
+        Nodes compare digests every few seconds. If the digest depended on how a record
+        was received, the tables would never be equal: every comparison would send
+        whole tables indefinitely, at a cost that grows with the square of the fleet.
         """
         async with trio.open_nursery() as nursery:
             plan = LinkPlan(full_mesh_nodes=6, relays_per_zone=2, neighbours=1)
-            fleet = await whole_fleet(nursery, 12, plan)
+            fleet = await start_fleet(nursery, 12, plan)
             await trio.sleep(60)
             before = self.sent(fleet, "peer_records")
             compared = self.sent(fleet, "peer_digest")
@@ -130,37 +132,37 @@
             nursery.cancel_scope.cancel()
 
     def sent(self, fleet: Fleet, kind: str) -> int:
-        """Return how many messages of a kind all nodes have sent."""
+        """Return the number of messages of a kind sent by all nodes."""
         counts = [peers.traffic.sent.get(kind) for peers in fleet.sets.values()]
         return sum(count.messages for count in counts if count is not None)
 
 
 class TestMesh:
-    """Seven nodes, as today."""
+    """A full mesh of up to seven nodes."""
 
     async def test_nodes_find_each_other_from_one_seed(self, autojump_clock):
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
             for number in range(1, 8):
                 await fleet.start(f"n{number}")
-            await fleet.until_whole(5)
-            answer = await fleet.sets["n2"].call("n7", Ping(), 1)
-            assert answer == Ping("n2>n7")
+            await fleet.wait_converged(5)
+            response = await fleet.sets["n2"].call("n7", Ping(), 1)
+            assert response == Ping("n2>n7")
             nursery.cancel_scope.cancel()
 
     async def test_silent_link_is_replaced(self, autojump_clock):
-        """The connection between two nodes goes silent for good; new ones work.
+        """The connection between two nodes goes silent permanently; new ones work.
 
-        Calls on the silent link get no answer. Within seconds the nodes open a fresh
-        link and calls work again. Neither is suspected meanwhile, as the fresh link
-        shows that both live.
+        Calls on the silent link get no response. Within seconds the nodes open a new
+        link and calls work again. Neither is suspected, since the new link shows that
+        both are alive.
         """
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 3)
+            fleet = await start_fleet(nursery, 3)
             one, two = fleet.sets["n1"], fleet.sets["n2"]
             assert fleet.network.silence(fleet.host("n1"), fleet.host("n2")) > 0
-            answer = await one.call("n2", Ping(), 1)
-            assert answer == CallFailed("timeout", maybe_handled=True)
+            response = await one.call("n2", Ping(), 1)
+            assert response == CallFailed("timeout", maybe_handled=True)
             await trio.sleep(4)
             assert await one.call("n2", Ping(), 1) == Ping("n1>n2")
             assert await two.call("n1", Ping(), 1) == Ping("n2>n1")
@@ -168,33 +170,33 @@
             nursery.cancel_scope.cancel()
 
     async def test_link_silent_in_one_direction(self, autojump_clock):
-        """n2 hears nothing of n1 any more, while n1 still hears n2.
+        """n2 receives nothing from n1 any more, while n1 still receives from n2.
 
-        Only n2 can notice. The fresh link that it opens must carry n1's messages
-        too, although n1's old link looks well to n1.
+        Only n2 can detect this. The new link that it opens must carry the messages of
+        n1 too, although the old link seems usable to n1.
         """
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 2)
+            fleet = await start_fleet(nursery, 2)
             near = fleet.host("n1")
             for stream in fleet.network.streams:
                 stream.silent = stream.silent or stream.near == near
             await trio.sleep(5)
-            answer = await fleet.sets["n1"].call("n2", Ping(), 1)
-            assert answer == Ping("n1>n2")
+            response = await fleet.sets["n1"].call("n2", Ping(), 1)
+            assert response == Ping("n1>n2")
             nursery.cancel_scope.cancel()
 
-    async def test_both_dial_at_once(self, autojump_clock):
-        """Two nodes dial each other at the same moment, over a slow network.
+    async def test_simultaneous_dials(self, autojump_clock):
+        """Two nodes dial each other simultaneously over a slow network.
 
-        Both links come about. Both ends send on the same one, and after a while only
-        one is left; nothing that waits on the other is cut off.
+        Both links are opened. Both ends send on the same one, and after a while the
+        other one is closed, without aborting a call that waits on it.
         """
         async with trio.open_nursery() as nursery:
             fleet = Fleet(nursery)
             fleet.network.delays_s[frozenset(map(fleet.host, ("n1", "n2")))] = 0.1
             await fleet.start("n1", seeds=["n2"])
             await fleet.start("n2", seeds=["n1"])
-            await fleet.until_whole(5)
+            await fleet.wait_converged(5)
             ends = [
                 fleet.sets[a].peers[b].links for a, b in (("n1", "n2"), ("n2", "n1"))
             ]
@@ -205,30 +207,30 @@
                 for a, b in (("n1", "n2"), ("n2", "n1"))
             ]
             assert used == [True, False]
-            answers = []
+            responses = []
 
             async def call() -> None:
-                answers.append(await fleet.sets["n1"].call("n2", Ping("slow"), 30))
+                responses.append(await fleet.sets["n1"].call("n2", Ping("slow"), 30))
 
             nursery.start_soon(call)
             await trio.sleep(25)
             assert [len(links) for links in ends] == [1, 1]
-            assert answers == [Ping("n1>n2")]
+            assert responses == [Ping("n1>n2")]
             nursery.cancel_scope.cancel()
 
     async def test_restart_with_a_higher_incarnation(self, autojump_clock):
-        """A node dies without a word and starts again at once.
+        """A node fails without notice and restarts immediately.
 
-        The others still hold links of the dead process. They must take the new one,
-        close the old links and turn the old incarnation away.
+        The others still hold links of the ended process. They must accept the new
+        incarnation, close the old links and reject the old incarnation.
         """
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 4)
+            fleet = await start_fleet(nursery, 4)
             fleet.network.silence(fleet.host("n2"), fleet.host("n1"))
             fleet.kill("n2")
             await fleet.start("n2", incarnation=2)
             await trio.sleep(5)
-            assert fleet.is_whole()
+            assert fleet.is_converged()
             for name in ("n1", "n3", "n4"):
                 [node] = [n for n in fleet.sets[name].nodes() if n.name == "n2"]
                 assert node.incarnation == 2
@@ -241,22 +243,22 @@
             assert fleet.sets["n1"].counters["hellos_refused"] > 0
             nursery.cancel_scope.cancel()
 
-    async def test_goodbye(self, autojump_clock):
+    async def test_graceful_leave(self, autojump_clock):
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 4)
+            fleet = await start_fleet(nursery, 4)
             await fleet.sets.pop("n3").leave()
             fleet.kill("n3")
-            assert await fleet.until_whole(1) < 0.5
+            assert await fleet.wait_converged(1) < 0.5
             assert sum(s.counters["suspicions"] for s in fleet.sets.values()) == 0
             nursery.cancel_scope.cancel()
 
-    async def test_dead_node_is_suspected_then_forgotten(self, autojump_clock):
+    async def test_failed_node_is_suspected_then_evicted(self, autojump_clock):
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 4)
+            fleet = await start_fleet(nursery, 4)
             del fleet.sets["n3"]
             fleet.kill("n3")
-            assert await fleet.until_whole(10) < 6
-            await trio.sleep(FORGET_S + 20)
+            assert await fleet.wait_converged(10) < 6
+            await trio.sleep(RECORD_TTL_S + 20)
             for peers in fleet.sets.values():
                 assert "n3" not in peers.table.records
                 assert "n3" not in peers.peers
@@ -264,74 +266,74 @@
 
 
 class TestPartition:
-    """Zones that are cut off from each other."""
+    """Network partitions between zones or nodes."""
 
-    async def test_cut_and_healed(self, autojump_clock):
-        """waco-b is cut off from the other zones for four minutes.
+    async def test_zone_partition_and_recovery(self, autojump_clock):
+        """waco-b is partitioned from the other zones for four minutes.
 
-        Each side sees itself whole and the other as gone, within seconds. When the
-        cut heals, all see all again within seconds, without a restart.
+        Within seconds, each side sees only its own nodes as live. When the partition
+        ends, all nodes see each other within seconds, without a restart.
         """
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 7)
+            fleet = await start_fleet(nursery, 7)
             inside = {"n1", "n4", "n7"}
             outside = set(fleet.sets) - inside
             pairs = [(fleet.host(a), fleet.host(b)) for a in inside for b in outside]
             for pair in pairs:
                 fleet.network.cut(*pair)
             await trio.sleep(10)
-            for name, view in fleet.views().items():
+            for name, view in fleet.memberships().items():
                 side = inside if name in inside else outside
                 assert set(view) == side - {name}
-            answer = await fleet.sets["n1"].call("n2", Ping(), 1)
-            assert answer == CallFailed("unreachable", maybe_handled=False)
+            response = await fleet.sets["n1"].call("n2", Ping(), 1)
+            assert response == CallFailed("unreachable", maybe_handled=False)
             await trio.sleep(230)
             for pair in pairs:
                 fleet.network.heal(*pair)
-            assert await fleet.until_whole(30) < 8
+            assert await fleet.wait_converged(30) < 8
             nursery.cancel_scope.cancel()
 
-    async def test_two_nodes_cut_off_from_each_other_only(self, autojump_clock):
-        """n1 and n2 cannot reach each other, all others reach both.
+    async def test_partition_between_two_nodes(self, autojump_clock):
+        """n1 and n2 cannot reach each other, but all others reach both.
 
-        Neither may be suspected: messages between them go through another node, and
-        the handler sees who sent them first.
+        Neither may be suspected. Messages between them are forwarded through another
+        node, and the handler sees the original sender.
         """
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 5)
+            fleet = await start_fleet(nursery, 5)
             fleet.network.cut(fleet.host("n1"), fleet.host("n2"))
             await trio.sleep(20)
-            assert fleet.is_whole()
+            assert fleet.is_converged()
             assert await fleet.sets["n1"].call("n2", Ping(), 1) == Ping("n1>n2")
             assert await fleet.sets["n2"].call("n1", Ping(), 1) == Ping("n2>n1")
             assert sum(s.counters["suspicions"] for s in fleet.sets.values()) == 0
             nursery.cancel_scope.cancel()
 
-    async def test_paused_process(self, autojump_clock):
-        """A process is paused for a minute, then goes on with old links and clocks.
+    async def test_suspended_process(self, autojump_clock):
+        """A process is suspended for a minute and resumes with its old links and clock.
 
-        The others suspect it. It must contradict them when it comes back, and not
-        be seen as dead for longer than a few seconds.
+        The others suspect it. When it resumes, it must refute the suspicion, and be
+        seen as live within a few seconds.
         """
         async with trio.open_nursery() as nursery:
             trio.lowlevel.add_instrument(HostInstrument())
-            fleet = await whole_fleet(nursery, 5)
+            fleet = await start_fleet(nursery, 5)
             fleet.hosts["n3"].freeze()
             await trio.sleep(60)
             assert not fleet.sets["n1"].is_live("n3")
             fleet.hosts["n3"].thaw()
-            assert await fleet.until_whole(30) < 8
+            assert await fleet.wait_converged(30) < 8
             nursery.cancel_scope.cancel()
 
 
 class TestZones:
-    """More nodes than the set size: relays, by the same code."""
+    """More nodes than a full mesh allows, which use relays."""
 
     PLAN = LinkPlan(full_mesh_nodes=6, relays_per_zone=2, neighbours=1)
 
     async def test_21_nodes_converge_and_reach_each_other(self, autojump_clock):
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 21, self.PLAN)
+            fleet = await start_fleet(nursery, 21, self.PLAN)
             await trio.sleep(60)
             links = [len(peers.linked()) for peers in fleet.sets.values()]
             assert min(links) <= 4
@@ -340,20 +342,20 @@
             for one in fleet.sets:
                 for other in fleet.sets:
                     if one != other:
-                        answer = await fleet.sets[one].call(other, Ping(), 1)
-                        assert answer == Ping(f"{one}>{other}")
+                        response = await fleet.sets[one].call(other, Ping(), 1)
+                        assert response == Ping(f"{one}>{other}")
                         hops += not fleet.sets[one].linked_to(other)
             assert hops > 100
             nursery.cancel_scope.cancel()
 
-    async def test_relays_share_what_is_passed_on(self, autojump_clock):
-        """Every node calls every other one once, most of them through relays.
+    async def test_forwarding_is_distributed_over_relays(self, autojump_clock):
+        """Every node calls every other node once, mostly through relays.
 
-        If all callers preferred the same relay, that node would carry a zone's or the
-        whole region's messages, and its traffic would grow with the fleet.
+        If all nodes preferred the same relay, it would carry the messages of a zone or
+        the whole region, and its traffic would grow with the fleet.
         """
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 21, self.PLAN)
+            fleet = await start_fleet(nursery, 21, self.PLAN)
             await trio.sleep(60)
             for one in fleet.sets:
                 for other in fleet.sets:
@@ -361,49 +363,50 @@
                         await fleet.sets[one].call(other, Ping(), 1)
             for zone in range(3):
                 names = [name for name in fleet.sets if int(name[1:]) % 3 == zone]
-                passed = [
-                    fleet.sets[name].forwarder.passed_on for name in relays_of(names, 2)
+                forwarded = [
+                    fleet.sets[name].forwarder.passed_on
+                    for name in select_relays(names, 2)
                 ]
-                assert max(passed) < 3 * min(passed)
+                assert max(forwarded) < 3 * min(forwarded)
             nursery.cancel_scope.cancel()
 
-    async def test_all_relays_of_a_zone_die(self, autojump_clock):
-        """Both relays of a zone die at once; its other nodes have no link outwards.
+    async def test_all_relays_of_a_zone_fail(self, autojump_clock):
+        """Both relays of a zone fail, and its other nodes have no links to other zones.
 
-        The rest of the zone must choose new relays and be reached again.
+        The rest of the zone must select new relays and become reachable again.
         """
         async with trio.open_nursery() as nursery:
-            fleet = await whole_fleet(nursery, 21, self.PLAN)
+            fleet = await start_fleet(nursery, 21, self.PLAN)
             await trio.sleep(30)
             zone = [name for name in fleet.sets if int(name[1:]) % 3 == 0]
-            for name in relays_of(zone, 2):
+            for name in select_relays(zone, 2):
                 del fleet.sets[name]
                 fleet.kill(name)
-            assert await fleet.until_whole(60) < 20
+            assert await fleet.wait_converged(60) < 20
             last = [name for name in zone if name in fleet.sets][-1]
-            answer = None
+            response = None
             with trio.fail_after(5):
-                while answer != Ping(f"n1>{last}"):
-                    answer = await fleet.sets["n1"].call(last, Ping(), 2)
+                while response != Ping(f"n1>{last}"):
+                    response = await fleet.sets["n1"].call(last, Ping(), 2)
                     await trio.sleep(0.2)
             nursery.cancel_scope.cancel()
 
-    async def test_paused_leaf(self, autojump_clock):
-        """A node that most others have no link to is paused for half a minute.
+    async def test_suspended_leaf(self, autojump_clock):
+        """A node to which most others have no link is suspended for half a minute.
 
-        Its relays suspect it, and all nodes hear so. When it goes on, only its own
-        word can make those who have no link to it believe that it lives.
+        Its relays suspect it, and all nodes receive this record. When it resumes, only
+        its own refutation can make nodes without a link to it see it as live.
         """
         async with trio.open_nursery() as nursery:
             trio.lowlevel.add_instrument(HostInstrument())
-            fleet = await whole_fleet(nursery, 12, self.PLAN)
+            fleet = await start_fleet(nursery, 12, self.PLAN)
             await trio.sleep(30)
             zone = [name for name in fleet.sets if int(name[1:]) % 3 == 0]
-            leaf = next(name for name in zone if name not in relays_of(zone, 2))
+            leaf = next(name for name in zone if name not in select_relays(zone, 2))
             fleet.hosts[leaf].freeze()
             await trio.sleep(30)
             others = [fleet.sets[name] for name in fleet.sets if name != leaf]
             assert not any(peers.is_live(leaf) for peers in others)
             fleet.hosts[leaf].thaw()
-            assert await fleet.until_whole(60) < 10
+            assert await fleet.wait_converged(60) < 10
             nursery.cancel_scope.cancel()
--- a/tests/process/test_server_distributor.py
+++ b/tests/process/test_server_distributor.py
@@ -7,7 +7,7 @@
 from rosemaryknot.connection.links import Handlers
 from rosemaryknot.process.server_distributor import ServerDistributor
 from rosemaryknot.process.servers import ServerTable
-from rosemaryknot.values.control import ServersFetch, ServersSame
+from rosemaryknot.values.control import ServersFetch, ServersUnchanged
 from rosemaryknot.values.nodes import BackendServer
 
 
@@ -40,7 +40,7 @@
     """Compare the table of one node with another's."""
     fetch = ServersFetch(client.digest())
     response = await peer.handle_fetch(fetch, FakeLink())
-    if isinstance(response, ServersSame):
+    if isinstance(response, ServersUnchanged):
         client.apply_same(response)
     else:
         client.apply_push(response, "peer")
--- a/tests/process/test_settings.py
+++ b/tests/process/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: all errors at once, exact places, secrets that stay hidden."""
+"""Tests of settings: reporting of all errors with locations, hiding of secrets."""
 
 import json
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def write(tmp_path):
-    """Return a function that writes a settings file beside its key file."""
+    """Return a function that writes a settings file next to its key file."""
     (tmp_path / "key").write_text(KEY + "\n")
 
     def write_settings(document, **more):
@@ -45,7 +45,7 @@
         assert loaded.agent == Address("127.0.0.1", 8300)
         assert loaded.limits.max_body_bytes == 1024 * 1024
 
-    def test_all_errors_at_once_with_their_places(self, write):
+    def test_all_errors_are_reported_with_locations(self, write):
         document = {
             "node": "Waco A",
             "zone": 1,
@@ -68,26 +68,30 @@
             "log.level: must be 'debug', 'info', 'warning' or 'error'",
         }
 
-    def test_key_that_stands_twice(self, write):
-        """An operator edits the first of two "zone" lines and sees no effect.
+    def test_duplicate_key(self, write):
+        """An operator edits the first of two "zone" lines, without effect.
 
-        JSON readers keep the last of two equal keys without a word, so the node
-        would go on in the old zone.
+        JSON parsers silently keep the last of two equal keys, so the node would keep
+        the old zone.
         """
         text = '{"node": "a", "zone": "waco-a", "region": "r", "zone": "waco-b"}'
         [error] = load_settings(write(text))
-        assert "'zone' stands twice" in str(error)
+        assert "'zone' is a duplicate key" in str(error)
 
     @pytest.mark.parametrize("text", ["", "{", "[]", "null", "[" * 100_000, "NaN"])
-    def test_broken_json(self, write, text):
+    def test_invalid_json(self, write, text):
         errors = load_settings(write(text))
         assert isinstance(errors, list) and errors
 
     @settings(max_examples=60, deadline=None)
-    @given(document=JSON_VALUES, place=st.sampled_from(["listen", "limits", "peers"]))
-    def test_any_json_gives_settings_or_errors(self, tmp_path_factory, document, place):
+    @given(
+        document=JSON_VALUES, location=st.sampled_from(["listen", "limits", "peers"])
+    )
+    def test_any_json_gives_settings_or_errors(
+        self, tmp_path_factory, document, location
+    ):
         path = tmp_path_factory.mktemp("any") / "settings.json"
-        path.write_text(json.dumps(NAMES | {place: document}))
+        path.write_text(json.dumps(NAMES | {location: document}))
         assert isinstance(load_settings(path), list)  # The key is missing.
 
 
@@ -97,9 +101,9 @@
         path = write(NAMES, cluster_key_env="ROSEMARYKNOT_TEST_KEY")
         assert load_settings(path).cluster_key == KEY.encode()
 
-    def test_neither_place_or_both(self, write):
-        for places in [{}, {"cluster_key_file": "key", "cluster_key_env": "HOME"}]:
-            [error] = load_settings(write(NAMES, **places))
+    def test_key_requires_exactly_one_source(self, write):
+        for sources in [{}, {"cluster_key_file": "key", "cluster_key_env": "HOME"}]:
+            [error] = load_settings(write(NAMES, **sources))
             assert error.path == "cluster_key_file"
 
     def test_loaded_key_is_not_shown(self, write):
@@ -118,11 +122,11 @@
             {"cluster_key_file": "key", "log": {"format": KEY}},
         ],
     )
-    def test_key_in_the_wrong_place_is_not_shown(self, write, misplaced):
-        """A newcomer pastes the key where a path or a name belongs.
+    def test_misplaced_key_is_not_shown(self, write, misplaced):
+        """An operator pastes the key where a path or a name belongs.
 
-        The error names the place. It goes to terminals and tickets, so it must not
-        repeat what stood there.
+        The error contains the location. It may appear in terminals and tickets, so it
+        must not contain the value.
         """
         errors = load_settings(write(NAMES | misplaced))
         assert isinstance(errors, list) and errors
--- a/tests/process/test_standby.py
+++ b/tests/process/test_standby.py
@@ -1,4 +1,4 @@
-"""Accepted model requests outlive the entry that relays them, in virtual time."""
+"""Tests that accepted model requests survive the failure of their relaying entry."""
 
 import pytest
 import trio
@@ -7,8 +7,8 @@
     MODEL,
     RELAY,
     SHORT,
-    assert_whole,
-    run_story,
+    assert_complete,
+    run_scenario,
 )
 
 from rosemaryknot.process.standby_table import StandbyTable
@@ -16,250 +16,253 @@
 from rosemaryknot.values.standby import StandbyCopy, StandbyUpdate
 
 
-class TestDeathWithoutNotice:
-    """The instance of the relaying entry vanishes in the middle of a stream."""
+class TestFailureWithoutNotice:
+    """The instance of the relaying entry fails during a stream."""
 
-    def test_relay_dies(self):
-        """The caller's stream breaks off and it picks the request up elsewhere.
+    def test_relay_fails(self):
+        """The stream of the caller breaks off and it picks the request up elsewhere.
 
-        The standby, in another zone, hears nothing from the relay, asks its agent,
-        gets no answer and goes on within the lineage.
+        The standby is in another zone. It receives no reports from the relay, probes
+        the agent without a response, and continues within the same lineage.
         """
 
-        async def story(fleet):
-            note = ModelNote("plan set of a house", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a house", LONG)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 60)
-                standby = fleet.standby_of(note)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 60)
+                standby = fleet.standby_node(record)
                 fleet.system.kill_node(RELAY)
-            assert_whole(note)
-            assert note.pickups > 0
+            assert_complete(record)
+            assert record.pickups > 0
             assert not standby.startswith("waco-a")
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_only_the_entry_dies(self):
-        """The entry is killed and its agent lives: the agent says so at once."""
+    def test_only_the_entry_fails(self):
+        """The entry is killed; its agent is alive and reports this immediately."""
 
-        async def story(fleet):
-            note = ModelNote("plan set of a barn", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a barn", LONG)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 60)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 60)
                 fleet.system.restart_entry(RELAY)
-            assert_whole(note)
+            assert_complete(record)
 
-        run_story(story)
+        run_scenario(scenario)
 
     def test_standby_has_less_text(self):
-        """The caller holds tokens that no batch brought to the standby.
+        """The caller has tokens that the standby never received.
 
-        The standby is cut off for a moment and the relay dies: the standby computes
-        the missing tokens again, in the same lineage, and the caller gets each once.
+        The standby is partitioned briefly and the relay fails. The standby recomputes
+        the missing tokens in the same lineage, and the caller gets each token once.
         """
 
-        async def story(fleet):
-            note = ModelNote("plan set of a shed", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a shed", LONG)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 60)
-                node = fleet.system.nodes[fleet.standby_of(note)]
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 60)
+                node = fleet.system.nodes[fleet.standby_node(record)]
                 for other in fleet.system.nodes.values():
                     if other is not node:
                         host = other.agent.network.host
                         fleet.system.network.cut(node.agent.network.host, host)
-                await fleet.wait_tokens(note, 80)
+                await fleet.wait_tokens(record, 80)
                 table = node.agent_process.standby.table
-                held = table.get("estimator-1", note.id)
-                assert len(held.copy.tokens) < len(note.tokens)
+                held = table.get("estimator-1", record.id)
+                assert len(held.replica.tokens) < len(record.tokens)
                 fleet.system.kill_node(RELAY)
                 await trio.sleep(0.1)
                 for other in fleet.system.nodes.values():
                     host = other.agent.network.host
                     fleet.system.network.heal(node.agent.network.host, host)
-            assert_whole(note)
+            assert_complete(record)
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_standby_dies_first(self):
-        """The standby dies, and some seconds later the relay does.
+    def test_standby_fails_first(self):
+        """The standby fails, and some seconds later the relay fails.
 
-        The batches get no answer, so the relay has copied the request to another
-        node by then.
+        The batches get no response, so the relay has replicated the request to
+        another node by then.
         """
 
-        async def story(fleet):
-            note = ModelNote("plan set of a mill", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a mill", LONG)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 60)
-                first = fleet.standby_of(note)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 60)
+                first = fleet.standby_node(record)
                 fleet.system.kill_node(first)
                 await trio.sleep(4.0)
-                assert fleet.standby_of(note) not in ("", first)
+                assert fleet.standby_node(record) not in ("", first)
                 fleet.system.kill_node(RELAY)
-            assert_whole(note)
+            assert_complete(record)
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_both_die_at_once(self):
-        """Relay and standby die together: the pick-up says honestly "unknown"."""
+    def test_relay_and_standby_fail_together(self):
+        """Relay and standby fail together: the pick-up correctly returns "unknown"."""
 
-        async def story(fleet):
-            note = ModelNote("plan set of a silo", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a silo", LONG)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 60)
-                standby = fleet.standby_of(note)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 60)
+                standby = fleet.standby_node(record)
                 fleet.system.kill_node(standby)
                 fleet.system.kill_node(RELAY)
                 await trio.sleep(10.0)
                 left = next(n for n in fleet.system.nodes if n not in (RELAY, standby))
-                answer = await fleet.get(left, f"/v1/requests/{note.id}")
-                assert answer.status_code in (404, 504)
-                assert answer.json()["outcome"] == "unknown"
+                response = await fleet.get(left, f"/v1/requests/{record.id}")
+                assert response.status_code in (404, 504)
+                assert response.json()["outcome"] == "unknown"
                 nursery.cancel_scope.cancel()
 
-        run_story(story)
+        run_scenario(scenario)
 
 
-class TestTwoAtWork:
-    def test_frozen_agent_of_the_relay(self):
-        """The relay's agent freezes while its entry streams on.
+class TestConcurrentRelays:
+    def test_suspended_agent_of_the_relay(self):
+        """The agent of the relay is suspended while its entry continues to stream.
 
-        The standby cannot tell that from a death and goes on too. Two entries work
-        on the request; the caller's stream and a pick-up give the same text.
+        The standby cannot distinguish this from a failure and continues the request
+        too. Two entries work on the request; the stream of the caller and a pick-up
+        return the same text.
         """
 
-        async def story(fleet):
-            note = ModelNote("plan set of a hall", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a hall", LONG)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 60)
-                standby = fleet.standby_of(note)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 60)
+                standby = fleet.standby_node(record)
                 fleet.system.nodes[RELAY].agent.freeze()
                 await trio.sleep(5.0)
-                assert len(note.tokens) > 200
-                assert note.outcome == "none"
-                again = await fleet.whole_from(standby, note)
-            assert_whole(note)
-            assert again.tokens == note.tokens
-            assert note.pickups == 0
+                assert len(record.tokens) > 200
+                assert record.outcome == "none"
+                picked_up = await fleet.pick_up_all(standby, record)
+            assert_complete(record)
+            assert picked_up.tokens == record.tokens
+            assert record.pickups == 0
 
-        run_story(story)
+        run_scenario(scenario)
 
 
-class TestAnnouncedReclaim:
-    """The instance of a node is taken back with notice."""
+class TestReclaimNotice:
+    """The instance of a node is reclaimed with notice."""
 
     @pytest.mark.parametrize("max_tokens", [LONG, SHORT * 2])
     def test_streams_are_handed_over(self, max_tokens):
-        """Three seconds' notice; a stream needs longer, also one without a copy.
+        """The stream outlasts the notice period of 1.5 s; the short one has no replica.
 
-        The node takes nothing new at once, hands the stream over, ends the caller's
-        connection with an explicit event, and the caller goes on elsewhere.
+        The node refuses new requests immediately, hands the stream over and ends the
+        connection of the caller with an explicit event. The caller continues at
+        another node.
         """
 
-        async def story(fleet):
-            note = ModelNote("plan set of a lodge", max_tokens)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a lodge", max_tokens)
             node = fleet.system.nodes[RELAY]
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 5)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 5)
                 fleet.system.platform.reclaim(RELAY, 1.5)
                 await trio.sleep(0.1)
                 ready = await fleet.get(RELAY, "/readyz")
                 assert ready.status_code == 503
                 await node.entry_ended.wait()
                 assert not node.entry.is_dead
-            assert_whole(note)
-            assert note.pickups > 0
+            assert_complete(record)
+            assert record.pickups > 0
 
-        run_story(story)
+        run_scenario(scenario)
 
     def test_agent_restarts_during_the_notice(self):
-        """The agent dies, the notice comes, and the agent is started again.
+        """The agent is killed, the notice arrives, and the agent is restarted.
 
-        It finds its node marked before its entry has linked up. It waits for the
-        entry and has it hand over, instead of ending with nobody told.
+        It finds the mark of its node before its entry has connected. It waits for the
+        entry and requests it to hand over, instead of exiting without notifying it.
         """
 
-        async def story(fleet):
-            note = ModelNote("plan set of a barn", SHORT * 2)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a barn", SHORT * 2)
             node = fleet.system.nodes[RELAY]
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 5)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 5)
                 node.agent.kill()
                 fleet.system.platform.reclaim(RELAY, 4.0)
                 await trio.sleep(0.5)
                 fleet.system.restart_agent(RELAY)
                 await node.entry_ended.wait()
                 assert not node.entry.is_dead
-            assert_whole(note)
+            assert_complete(record)
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_notice_during_a_planned_stop(self):
-        """An operator drains the node; the notice comes while a stream still runs.
+    def test_notice_during_graceful_shutdown(self):
+        """An operator drains the node; the notice arrives while a stream is running.
 
-        The stop waits for the stream, and no longer than to the new deadline.
+        The shutdown waits for the stream, but no longer than until the new deadline.
         """
 
-        async def story(fleet):
-            note = ModelNote("plan set of a tower", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a tower", LONG)
             node = fleet.system.nodes[RELAY]
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 20)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 20)
                 await node.agent_process.drain("ana")
-                await fleet.wait_tokens(note, 40)
+                await fleet.wait_tokens(record, 40)
                 assert not node.entry_ended.is_set()
                 fleet.system.platform.reclaim(RELAY, 2.0)
                 await node.entry_ended.wait()
                 assert not node.entry.is_dead
-            assert_whole(note)
+            assert_complete(record)
 
-        run_story(story)
+        run_scenario(scenario)
 
     def test_standby_is_reclaimed_first(self):
-        """The standby gets a notice, and the relay dies right after its end.
+        """The standby gets a notice, and the relay fails right after it terminated.
 
-        The relay hears of the notice and has copied the request anew by then.
+        The relay receives the notice of the standby and has replicated the request to
+        another node by then.
         """
 
-        async def story(fleet):
-            note = ModelNote("plan set of a villa", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a villa", LONG)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 20)
-                standby = fleet.standby_of(note)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 20)
+                standby = fleet.standby_node(record)
                 fleet.system.platform.reclaim(standby, 2.0)
                 await trio.sleep(2.1)
                 fleet.system.kill_node(RELAY)
-            assert_whole(note)
+            assert_complete(record)
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_short_streams_end_in_place(self):
-        """What ends before the deadline is not moved."""
+    def test_short_streams_are_not_handed_over(self):
+        """Streams that end before the deadline are not handed over."""
 
-        async def story(fleet):
-            note = ModelNote("plan set of a porch", SHORT)
+        async def scenario(fleet):
+            record = ModelNote("plan set of a porch", SHORT)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 50)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 50)
                 fleet.system.platform.reclaim(RELAY, 4.0)
-            assert_whole(note)
-            assert note.pickups == 0
+            assert_complete(record)
+            assert record.pickups == 0
 
-        run_story(story)
+        run_scenario(scenario)
 
-    def test_last_event(self):
-        """The stream at the leaving entry ends with "running", never silently."""
+    def test_stream_ends_with_explicit_event(self):
+        """The stream at the draining entry ends with a "running" event."""
 
-        async def story(fleet):
+        async def scenario(fleet):
             body = {
                 "model": MODEL,
                 "messages": [{"role": "user", "content": "plan set of a cabin"}],
@@ -270,8 +273,8 @@
             headers = fleet.caller([RELAY]).headers
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(reclaim_later, fleet)
-                answer = await fleet.client.post(url, headers=headers, json=body)
-            events = answer.text.split("\n\n")
+                response = await fleet.client.post(url, headers=headers, json=body)
+            events = response.text.split("\n\n")
             assert events[-2] == "data: [DONE]"
             assert '"outcome":"running","retry_after":' in events[-3]
 
@@ -279,31 +282,31 @@
             await trio.sleep(0.5)
             fleet.system.platform.reclaim(RELAY, 3.0)
 
-        run_story(story)
+        run_scenario(scenario)
 
 
-class TestPickUpElsewhere:
-    def test_only_its_customer(self):
-        """Any node finds a customer's request; to another customer it is not there."""
+class TestPickUpAtOtherNodes:
+    def test_only_own_customer_finds_request(self):
+        """Any node finds a request of a customer, but not for another customer."""
 
-        async def story(fleet):
-            note = ModelNote("plan set of an inn", LONG)
+        async def scenario(fleet):
+            record = ModelNote("plan set of an inn", LONG)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(fleet.ask, note, fleet.caller([RELAY]))
-                await fleet.wait_tokens(note, 20)
+                nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
+                await fleet.wait_tokens(record, 20)
                 for node in fleet.system.nodes:
-                    path = f"/v1/requests/{note.id}"
-                    answer = await fleet.get(node, path, "estimator-2")
-                    assert answer.status_code == 404
-                    assert answer.json()["reason"] == "unknown_request"
-                again = await fleet.whole_from("temple-c-1", note)
-            assert_whole(note)
-            assert again.tokens == note.tokens
+                    path = f"/v1/requests/{record.id}"
+                    response = await fleet.get(node, path, "estimator-2")
+                    assert response.status_code == 404
+                    assert response.json()["reason"] == "unknown_request"
+                picked_up = await fleet.pick_up_all("temple-c-1", record)
+            assert_complete(record)
+            assert picked_up.tokens == record.tokens
 
-        run_story(story)
+        run_scenario(scenario)
 
 
-def copy_of(request="r1", lineage="l1", tokens=(), body=b"{}", max_tokens=10):
+def create_replica(request="r1", lineage="l1", tokens=(), body=b"{}", max_tokens=10):
     return StandbyCopy(
         request, "c", "s", lineage, body, max_tokens, 0, 60.0, list(tokens)
     )
@@ -311,27 +314,27 @@
 
 class TestStandbyTable:
     async def test_bounded_by_bytes_and_count(self, autojump_clock):
-        table = StandbyTable(max_copies=2, max_bytes=3000)
-        assert table.add(copy_of("r1"))
-        assert not table.add(copy_of("r2", body=b"x" * 3000))
-        assert table.add(copy_of("r3"))
-        assert not table.add(copy_of("r4"))
+        table = StandbyTable(max_replicas=2, max_bytes=3000)
+        assert table.add(create_replica("r1"))
+        assert not table.add(create_replica("r2", body=b"x" * 3000))
+        assert table.add(create_replica("r3"))
+        assert not table.add(create_replica("r4"))
         table.remove(("c", "r1"))
-        assert table.add(copy_of("r4"))
+        assert table.add(create_replica("r4"))
 
-    async def test_text_joins_without_a_gap(self, autojump_clock):
-        """Batches come twice or out of order: no token is doubled or skipped."""
+    async def test_text_is_appended_without_gaps(self, autojump_clock):
+        """Duplicate and reordered batches neither duplicate nor skip tokens."""
         table = StandbyTable()
-        table.add(copy_of(tokens=[b"a"]))
+        table.add(create_replica(tokens=[b"a"]))
         assert table.apply(StandbyUpdate("c", "r1", 0, [b"a", b"b"]))
         assert not table.apply(StandbyUpdate("c", "r1", 3, [b"d"]))
         assert table.apply(StandbyUpdate("c", "r1", 1, [b"b", b"c"]))
-        assert table.get("c", "r1").copy.tokens == [b"a", b"b", b"c"]
+        assert table.get("c", "r1").replica.tokens == [b"a", b"b", b"c"]
         assert table.get("other", "r1") is None
 
-    async def test_kept_for_a_while_after_the_end(self, autojump_clock):
-        table = StandbyTable(keep_ended_s=5.0)
-        table.add(copy_of())
+    async def test_replica_expires_after_end(self, autojump_clock):
+        table = StandbyTable(ended_ttl_s=5.0)
+        table.add(create_replica())
         table.apply(StandbyUpdate("c", "r1", 0, [b"a"], "answered"))
         await trio.sleep(4.0)
         assert table.get("c", "r1").outcome == "answered"
--- a/tests/process/test_store_watcher.py
+++ b/tests/process/test_store_watcher.py
@@ -14,7 +14,7 @@
     """A store whose changes take longer than the call timeout; lists do not."""
 
     def __init__(self):
-        self.returned_s = float("-inf")
+        self.reconnected_s = float("-inf")
         self.calls = []
 
     async def list_objects(self, kind):
--- a/tests/request/relay_fleet.py
+++ b/tests/request/relay_fleet.py
@@ -1,4 +1,4 @@
-"""A relay with stand-in engines on a memory network, in virtual time."""
+"""Fixture: a relay with stand-in engines on an in-memory network."""
 
 import json
 
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """A relay of zone waco-a and named engines, each on a host of its own."""
+    """A relay in zone waco-a with named engines, each on its own host."""
 
     def __init__(self, move_policy="planned_moves", moves_kv=True, **safeguards):
         self.network = MemoryNetwork("10.0.0.1")
@@ -59,7 +59,7 @@
         )
 
     async def add(self, nursery, name, zone="waco-a", **settings) -> EngineStandIn:
-        """Start an engine; it is listed at once."""
+        """Start an engine and list it immediately."""
         host = f"10.0.1.{len(self.engines) + 1}"
         engine = EngineStandIn(EngineSettings(**settings), unix_time)
         await nursery.start(
@@ -83,16 +83,16 @@
         return self.backends[name].address.split(":")[0]
 
     def kill(self, name: str) -> None:
-        """End an engine and reset its connections."""
+        """Stop an engine and reset its connections."""
         self.engines[name].kill()
         self.network.kill_host(self.host(name))
 
     def silence(self, name: str) -> int:
-        """Make the open connections of an engine silent; new ones work."""
+        """Silence the open connections of an engine; new connections work."""
         return self.network.silence(self.network.host, self.host(name))
 
     def reclaim(self, name: str, notice_s: float) -> None:
-        """Give notice of an engine."""
+        """Send the reclaim notice of an engine."""
         self.engines[name].leaving = True
         deadline = unix_time() + notice_s
         self.servers.mark_leaving(name, deadline, "notice")
@@ -120,29 +120,29 @@
         )
 
     def server_of(self, generation: Generation) -> str:
-        """Return the engine that a running generation is on."""
+        """Return the engine that runs a generation."""
         return self.relay.mover.running[generation.request_id].server.instance
 
     def recomputed(self) -> int:
-        """Return the tokens computed again, by the engines' ledgers."""
+        """Return the number of recomputed tokens in the engines' ledgers."""
         engines = self.engines.values()
         return recomputed_tokens([e for g in engines for e in g.batch.ledger])
 
 
 def expected(generation: Generation) -> list[str]:
-    """Return the tokens that the whole answer must have."""
+    """Return the expected tokens of the complete response."""
     request = generation.request
     prompt = prompt_text(request.messages)
     return whole_answer(prompt, generation.lineage, request.max_tokens)
 
 
 def assert_whole(generation: Generation) -> None:
-    """Check that the answer is whole, its own and not mixed."""
+    """Check that the response is complete and contains only its own tokens."""
     assert isinstance(generation.outcome, Answered), generation.outcome
     assert generation.token_texts() == expected(generation)
 
 
 def events_of(data: bytes) -> list[dict | str]:
-    """Return the events of a stream, the last of which is ``[DONE]``."""
-    texts = [part.removeprefix("data: ") for part in data.decode().split("\n\n")[:-1]]
+    """Return the events of a stream; the last one is ``[DONE]``."""
+    texts = [event.removeprefix("data: ") for event in data.decode().split("\n\n")[:-1]]
     return [json.loads(text) if text != "[DONE]" else text for text in texts]
--- a/tests/request/test_generations.py
+++ b/tests/request/test_generations.py
@@ -1,4 +1,4 @@
-"""Tests of generations, their followers and their table."""
+"""Tests of generations, their subscribers and their table."""
 
 import json
 
@@ -30,22 +30,22 @@
 
 
 async def offsets(one, offset=0, lineage=""):
-    parts = [part async for part in one.follow(offset, lineage)]
-    return [e["offset"] for e in events_of(b"".join(parts))[:-2]]
+    chunks = [chunk async for chunk in one.subscribe(offset, lineage)]
+    return [e["offset"] for e in events_of(b"".join(chunks))[:-2]]
 
 
 class TestGeneration:
-    async def test_followers_read_from_any_offset(self, nursery, autojump_clock):
-        """One caller follows from the start, another one picks up at token 3."""
+    async def test_subscribers_read_from_any_offset(self, nursery, autojump_clock):
+        """One caller subscribes from the start, another one from token 3."""
         one = generation()
         one.emit([b"a", b"b"])
         read = {}
 
-        async def follow(offset):
+        async def subscribe(offset):
             read[offset] = await offsets(one, offset)
 
         for offset in (0, 3, 9):
-            nursery.start_soon(follow, offset)
+            nursery.start_soon(subscribe, offset)
         for token in (b"c", b"d", b"e"):
             await trio.sleep(1)
             one.emit([token])
@@ -54,24 +54,24 @@
         assert read == {0: [0, 1, 2, 3, 4], 3: [3, 4], 9: []}
 
     async def test_foreign_lineage_starts_from_zero(self, autojump_clock):
-        """A caller holds two tokens of a lineage that another instance gave it.
+        """A caller with tokens of another lineage gets the text from the start.
 
-        Our tokens are of another sample and do not fit behind those two, so it gets
-        this one's text whole.
+        The caller has two tokens from another instance. The tokens of this lineage are
+        another sample and cannot be appended to them.
         """
         one = generation(tokens=[b"a", b"b", b"c"])
         one.finish(ANSWERED)
         assert await offsets(one, 2, "l1") == [2]
         assert await offsets(one, 2, "other") == [0, 1, 2]
 
-    async def test_slow_follower_gets_tokens_joined(self, autojump_clock):
+    async def test_slow_subscriber_gets_joined_tokens(self, autojump_clock):
         one = generation()
         one.emit([b"a"])
-        follower = one.follow()
-        await anext(follower)
+        subscriber = one.subscribe()
+        await anext(subscriber)
         for token in (b"b", b"\\u00e9\\n", b'\\"'):
             one.emit([token])
-        assert len(events_of(await anext(follower))) == 3
+        assert len(events_of(await anext(subscriber))) == 3
         assert one.text() == 'abé\n"'
 
     async def test_only_the_first_outcome_counts(self, autojump_clock):
@@ -82,27 +82,27 @@
 
 
 class TestGenerationTable:
-    async def test_another_customer_finds_nothing(self, autojump_clock):
+    async def test_request_of_another_customer_is_not_found(self, autojump_clock):
         table = GenerationTable()
         one = generation()
         assert table.add(one) is None
         assert table.find("estimator-1", "r1") is one
         assert table.find("estimator-2", "r1") is None
 
-    async def test_finished_ones_go_after_their_time(self, autojump_clock):
-        table = GenerationTable(keep_s=600)
+    async def test_finished_requests_expire(self, autojump_clock):
+        table = GenerationTable(ttl_s=600)
         one = generation()
         table.add(one)
         one.finish(ANSWERED)
-        table.note_finished(one)
+        table.record_finished(one)
         await trio.sleep(599)
         assert table.find("estimator-1", "r1") is one
         await trio.sleep(2)
         assert table.find("estimator-1", "r1") is None
         assert (table.size, table.entries) == (0, {})
 
-    async def test_room_is_made_by_finished_ones_only(self, autojump_clock):
-        """The table is full: a finished answer is dropped, running ones never are."""
+    async def test_only_finished_requests_are_evicted(self, autojump_clock):
+        """A full table evicts a finished response, but never a running one."""
         table = GenerationTable(max_count=2)
         first, second = generation("r1"), generation("r2")
         table.add(first)
@@ -110,22 +110,22 @@
         refusal = table.add(generation("r3"))
         assert refusal.reason == Reason.OVERLOADED and refusal.retry_after_s > 0
         first.finish(ANSWERED)
-        table.note_finished(first)
+        table.record_finished(first)
         assert table.add(generation("r3")) is None
         assert table.find("estimator-1", "r1") is None
         assert table.running() == [second, table.find("estimator-1", "r3")]
 
-    async def test_bytes_are_bounded_and_given_back(self, autojump_clock):
+    async def test_reserved_bytes_are_bounded_and_released(self, autojump_clock):
         table = GenerationTable(max_bytes=10_000)
         one = generation(max_tokens=150)
         assert table.add(one) is None
         assert table.add(generation("r2", max_tokens=150)) is not None
         one.emit([b"a"])
         one.finish(ANSWERED)
-        table.note_finished(one)
+        table.record_finished(one)
         assert table.add(generation("r2", max_tokens=150)) is None
 
-    async def test_an_id_is_used_once(self, autojump_clock):
+    async def test_duplicate_id_is_refused(self, autojump_clock):
         table = GenerationTable()
         table.add(generation())
         assert table.add(generation()).reason == Reason.ALREADY_RUNNING
@@ -173,14 +173,17 @@
             ),
         ],
     )
-    def test_what_is_not_the_next_token_ends_the_stream(self, bad, end):
-        """Nothing that stands behind a bad frame is passed on, however it looks."""
+    def test_invalid_frame_ends_the_stream(self, bad, end):
+        """No frame after an invalid one is accepted, even if it is valid itself."""
         one = checker()
         assert one.feed(frame(0) + bad + frame(1)) == [b"a"]
         assert one.end == end
 
-    def test_a_quote_cannot_hide_fields(self):
-        """A frame begins and ends as ours does, with another id between the two."""
+    def test_token_text_cannot_hide_fields(self):
+        """A token text that contains another id field is detected.
+
+        The frame starts and ends like a valid one.
+        """
         inside = 'a"}}],"id":"r2","choices":[{"index":0,"delta":{"content":"b'
         one = checker()
         raw = frame(0, "X").replace(b"X", inside.encode())
--- a/tests/request/test_http_api.py
+++ b/tests/request/test_http_api.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface, in virtual time over stand-ins."""
+"""Tests of the callers' HTTP interface, in virtual time with stand-in servers."""
 
 import json
 
@@ -9,7 +9,7 @@
     OTHER_API_KEY,
     booking,
     chat,
-    whole_fleet,
+    start_fleet,
 )
 from tests.request.relay_fleet import events_of
 
@@ -60,7 +60,7 @@
 
 
 async def raw_call(fleet, head, chunks=(), pause_s=0.01, bound_s=60.0):
-    """Send bytes as they are; return what came and when the connection ended."""
+    """Send raw bytes; return the received data and the duration."""
     stream = await fleet.network.dial(Address("10.0.3.1", 8100))
     received = bytearray()
     started_s = trio.current_time()
@@ -87,35 +87,35 @@
 
 
 class TestBadInput:
-    async def test_each_has_its_status_and_reason(self, nursery, autojump_clock):
-        fleet = await whole_fleet(nursery, max_body_bytes=200_000)
+    async def test_invalid_input_status_and_reason(self, nursery, autojump_clock):
+        fleet = await start_fleet(nursery, max_body_bytes=200_000)
         async with fleet.caller() as caller:
             for method, path, headers, body, status, reason in BAD_INPUTS:
-                answer = await caller.request(
+                response = await caller.request(
                     method, path, headers=headers, content=body
                 )
                 case = (method, path, headers, body[:80])
-                assert answer.status_code == status, case
-                assert answer.json()["reason"] == reason, case
-                assert answer.json()["detail"], case
-                assert answer.headers["Rosemaryknot-Request"], case
+                assert response.status_code == status, case
+                assert response.json()["reason"] == reason, case
+                assert response.json()["detail"], case
+                assert response.headers["Rosemaryknot-Request"], case
         assert fleet.runs() == {}
         assert fleet.entries[0].admission.in_flight == 0
 
-    async def test_not_run_is_not_said_of_a_repeat(self, nursery, autojump_clock):
-        """Attempt 1 ran; its repeat is malformed.
+    async def test_malformed_repeat_gets_unknown(self, nursery, autojump_clock):
+        """A malformed repeat of a request that ran must not get "not run".
 
-        "Not run" is read as a word on the booking, which did run. So the repeat gets
-        400 with "unknown", and the same id in the right form still gets the answer.
+        "Not run" would refer to the booking, which did run, so the repeat gets
+        "unknown" with status 400 or 401. A well-formed repeat still gets the response.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         async with fleet.caller() as caller:
             first = await caller.post(BOOK, headers=booking("b1", 1))
             assert first.status_code == 200
             for bad in ({"Rosemaryknot-Attempt": "x"}, {"Authorization": "Bearer a.b"}):
-                answer = await caller.post(BOOK, headers={**booking("b1"), **bad})
-                assert answer.status_code in (400, 401)
-                assert answer.json()["outcome"] == "unknown"
+                response = await caller.post(BOOK, headers={**booking("b1"), **bad})
+                assert response.status_code in (400, 401)
+                assert response.json()["outcome"] == "unknown"
             repeat = await caller.post(BOOK, headers=booking("b1", 2))
             assert repeat.json() == first.json()
         assert fleet.runs() == {"b1": 1}
@@ -129,32 +129,32 @@
             ("Transfer-Encoding: chunked", b"c8\r\n" + b"x" * 200 + b"\r\n", 413),
         ],
     )
-    async def test_sender_that_never_ends(
+    async def test_body_that_never_ends(
         self, nursery, autojump_clock, framing, chunk, status
     ):
-        """A caller sends its body bit by bit, or more of it than is allowed.
+        """A caller that sends a body slowly or too large is disconnected.
 
-        It gets a typed answer within the bound and its connection is closed soon
-        after, however long it goes on sending. Without the close the connection and
-        its task stayed for as long as the caller liked.
+        It gets an error response within the timeout, and the connection is closed soon
+        after even if the caller keeps sending. Without the close, the connection and
+        its task stayed as long as the caller kept sending.
         """
-        fleet = await whole_fleet(nursery, max_body_bytes=1000, body_timeout_s=2.0)
+        fleet = await start_fleet(nursery, max_body_bytes=1000, body_timeout_s=2.0)
         head = f"POST {BOOK} HTTP/1.1\r\n{HEAD}Idempotency-Key: b\r\n{framing}\r\n\r\n"
-        answer, took_s = await raw_call(fleet, head, [chunk] * 10_000, pause_s=0.05)
-        assert answer.startswith(b"HTTP/1.1 %d" % status)
+        response, took_s = await raw_call(fleet, head, [chunk] * 10_000, pause_s=0.05)
+        assert response.startswith(b"HTTP/1.1 %d" % status)
         assert took_s < 4.0
         assert fleet.entries[0].drain.in_flight == 0
         assert fleet.entries[0].admission.in_flight == 0
 
 
-class TestFaults:
-    async def test_a_fault_of_ours(self, nursery, autojump_clock):
-        """A part raises what nobody expects, with the caller's text in it.
+class TestInternalErrors:
+    async def test_internal_error(self, nursery, autojump_clock):
+        """An unexpected exception that contains the caller's text.
 
-        The caller gets "unknown", for it may have run; others are served on, and the
-        slot is free again.
+        The caller gets "unknown", since the request may have run. Other callers are
+        still served, and the slot is released.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         entry = fleet.entries[0]
         send_once = entry.plain.send_once
 
@@ -164,9 +164,9 @@
 
         entry.plain.send_once = fail
         async with fleet.caller() as caller:
-            answer = await caller.post(BOOK, headers=booking("b1", 1), content=b"x")
-            assert answer.status_code == 504
-            assert answer.json()["outcome"] == "unknown"
+            response = await caller.post(BOOK, headers=booking("b1", 1), content=b"x")
+            assert response.status_code == 504
+            assert response.json()["outcome"] == "unknown"
             entry.plain.send_once = send_once
             repeat = await caller.post(BOOK, headers=booking("b1", 2), content=b"x")
             assert repeat.json()["outcome"] == "unknown"
@@ -176,13 +176,13 @@
 
 
 class TestModelRequests:
-    async def test_whole_completion(self, nursery, autojump_clock):
-        fleet = await whole_fleet(nursery)
+    async def test_complete_response(self, nursery, autojump_clock):
+        fleet = await start_fleet(nursery)
         async with fleet.caller() as caller:
-            answer = await caller.post(CHAT, json=chat(stream=False))
-            document = answer.json()
+            response = await caller.post(CHAT, json=chat(stream=False))
+            document = response.json()
             stream = await caller.post(CHAT, json=chat())
-        assert document["id"] == answer.headers["Rosemaryknot-Request"]
+        assert document["id"] == response.headers["Rosemaryknot-Request"]
         assert (
             document["usage"]["completion_tokens"] == len(events_of(stream.content)) - 2
         )
@@ -191,18 +191,18 @@
             == document["tokens"]
         )
 
-    async def test_caller_hangs_up_and_picks_up(self, nursery, autojump_clock):
-        """The caller's connection ends in the middle of a stream.
+    async def test_caller_disconnects_and_resumes(self, nursery, autojump_clock):
+        """A caller whose connection breaks can resume an accepted request.
 
-        The accepted request goes on, and the caller gets the rest from the offset
-        that it has, in the same lineage.
+        The request continues, and the caller gets the rest from its offset, in the same
+        lineage.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         async with fleet.caller() as caller:
-            async with caller.stream("POST", CHAT, json=chat(400)) as answer:
-                request_id = answer.headers["Rosemaryknot-Request"]
-                parts = answer.aiter_raw()
-                first = events_of(await anext(parts))
+            async with caller.stream("POST", CHAT, json=chat(400)) as response:
+                request_id = response.headers["Rosemaryknot-Request"]
+                chunks = response.aiter_raw()
+                first = events_of(await anext(chunks))
             await trio.sleep(1.0)
             rest = await caller.get(f"/v1/requests/{request_id}?offset={len(first)}")
         events = first + events_of(rest.content)
@@ -213,21 +213,21 @@
         assert len({event["lineage"] for event in events[:-2]}) == 1
 
     async def test_respond_async(self, nursery, autojump_clock):
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         async with fleet.caller() as caller:
             accepted = await caller.post(
                 CHAT, json=chat(), headers={"Prefer": "respond-async"}
             )
             assert accepted.status_code == 202
-            answer = await caller.get(accepted.headers["Location"])
-        assert events_of(answer.content)[-1] == "[DONE]"
+            response = await caller.get(accepted.headers["Location"])
+        assert events_of(response.content)[-1] == "[DONE]"
 
     async def test_another_customers_request(self, nursery, autojump_clock):
-        """Another customer that knows the id sees what it sees of no id at all."""
-        fleet = await whole_fleet(nursery)
+        """A request of another customer looks the same as one that does not exist."""
+        fleet = await start_fleet(nursery)
         async with fleet.caller() as caller:
-            answer = await caller.post(CHAT, json=chat())
-            request_id = answer.headers["Rosemaryknot-Request"]
+            response = await caller.post(CHAT, json=chat())
+            request_id = response.headers["Rosemaryknot-Request"]
         async with fleet.caller(api_key=OTHER_API_KEY) as other:
             foreign = await other.get(f"/v1/requests/{request_id}")
             absent = await other.get("/v1/requests/r0")
@@ -237,7 +237,7 @@
 
 class TestMetrics:
     async def test_shows_outcomes(self, nursery, autojump_clock):
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         async with fleet.caller() as caller:
             await caller.post(CHAT, json=chat())
             text = (await caller.get("/metrics")).text
--- a/tests/request/test_plain.py
+++ b/tests/request/test_plain.py
@@ -1,10 +1,10 @@
-"""Tests of the pass-through to plain services, in virtual time."""
+"""Tests of requests to plain services, in virtual time."""
 
 import random
 
 import pytest
 import trio
-from tests.process.entry_fleet import booking, whole_fleet
+from tests.process.entry_fleet import booking, start_fleet
 
 from rosemaryknot.process.server_health import ServerHealth
 from rosemaryknot.request.plain_route import PlainCandidate, choose_plain_server
@@ -30,24 +30,24 @@
 
 class TestAtMostOnce:
     async def test_connection_refused(self, nursery, autojump_clock):
-        """One server died and is still listed.
+        """A request to a stopped server that is still listed runs at another one.
 
-        No byte can have left, so the booking goes to the other server, and runs once
-        there.
+        The connection is refused, so no byte was sent, and the booking runs once at the
+        other server.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         fleet.plains["p1"].kill()
-        fleet.network.kill_host(fleet.host_of("p1"))
+        fleet.network.kill_host(fleet.server_host("p1"))
         async with fleet.caller() as caller:
             for number in range(10):
-                answer = await caller.post(BOOK, headers=booking(f"b{number}", 1))
-                assert answer.status_code == 200
+                response = await caller.post(BOOK, headers=booking(f"b{number}", 1))
+                assert response.status_code == 200
         assert fleet.runs() == {f"b{number}": 1 for number in range(10)}
 
     async def test_all_refused(self, nursery, autojump_clock):
-        """No server can be reached: "not run" is true, and a later attempt runs."""
-        fleet = await whole_fleet(nursery)
-        hosts = {name: fleet.host_of(name) for name in fleet.plains}
+        """If no server is reachable, the outcome is "not run"; a retry can run."""
+        fleet = await start_fleet(nursery)
+        hosts = {name: fleet.server_host(name) for name in fleet.plains}
         for host in hosts.values():
             fleet.network.cut("10.0.3.1", host)
         async with fleet.caller() as caller:
@@ -57,8 +57,8 @@
             assert int(refused.headers["Retry-After"]) >= 1
             for host in hosts.values():
                 fleet.network.heal("10.0.3.1", host)
-            answer = await caller.post(BOOK, headers=booking("b1", 2))
-        assert answer.status_code == 200
+            response = await caller.post(BOOK, headers=booking("b1", 2))
+        assert response.status_code == 200
         assert fleet.runs() == {"b1": 1}
 
     @pytest.mark.parametrize(
@@ -66,77 +66,77 @@
         [("die_before", 0), ("die_after", 1), ("lose_answer", 1), ("silent_after", 1)],
     )
     async def test_broken_after_send(self, nursery, autojump_clock, fault, runs):
-        """The connection ends, or falls silent, after the booking was sent.
+        """A booking whose connection fails after it was sent must not run again.
 
-        Nobody here can tell whether it ran: the caller is told "unknown", it is sent
-        nowhere else, and a repeat does not run it either.
+        It is not known whether it ran: the caller gets "unknown", the booking is not
+        sent to another server, and a repeat does not run it either.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         fail_all(fleet, fault=fault)
         async with fleet.caller() as caller:
-            answer = await caller.post(BOOK, headers=booking("b1", 1))
-            assert answer.status_code == 504
-            assert answer.json()["outcome"] == "unknown"
+            response = await caller.post(BOOK, headers=booking("b1", 1))
+            assert response.status_code == 504
+            assert response.json()["outcome"] == "unknown"
             repeat = await caller.post(BOOK, headers=booking("b1", 2))
             assert repeat.json()["outcome"] == "unknown"
         assert total_runs(fleet) == runs
 
-    async def test_leaving_server_refuses(self, nursery, autojump_clock):
-        """The first server that is asked says that it is leaving.
+    async def test_draining_server_refuses(self, nursery, autojump_clock):
+        """A booking that a draining server refuses runs at another server.
 
-        It ran nothing, by its own word: the booking runs at the other one, and the
-        agent hears of it.
+        The refusal states that nothing ran. The server is marked as draining, and the
+        mark is sent to the agent.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         fleet.plains["p1"].leaving = True
         entry = fleet.entries[0]
         async with fleet.caller() as caller:
             for number in range(10):
-                answer = await caller.post(BOOK, headers=booking(f"b{number}", 1))
-                assert answer.status_code == 200
+                response = await caller.post(BOOK, headers=booking(f"b{number}", 1))
+                assert response.status_code == 200
         assert [s.instance for s in entry.servers.servers_of("dispatch-app")] == ["p2"]
         await trio.sleep(0.1)
         assert [mark.instance for mark in fleet.agents[0].marks] == ["p1"]
 
-    async def test_caller_hangs_up(self, nursery, autojump_clock):
-        """The caller gives up while its booking runs; its repeat gets the answer."""
-        fleet = await whole_fleet(nursery)
+    async def test_caller_disconnects(self, nursery, autojump_clock):
+        """The caller disconnects while its booking runs; a repeat gets the response."""
+        fleet = await start_fleet(nursery)
         fail_all(fleet, fault="late", late_s=2.0)
         async with fleet.caller() as caller:
             with trio.move_on_after(1.0):
                 await caller.post(BOOK, headers=booking("b1", 1))
             await trio.sleep(2.0)
-            answer = await caller.post(BOOK, headers=booking("b1", 2))
-        assert answer.status_code == 200
+            response = await caller.post(BOOK, headers=booking("b1", 2))
+        assert response.status_code == 200
         assert fleet.runs() == {"b1": 1}
 
 
 class TestIdempotent:
     @pytest.mark.parametrize("fault", ["refuse", "lose_answer", "die_before"])
-    async def test_goes_on_at_another_server(self, nursery, autojump_clock, fault):
-        """A server fails a call that may be repeated; another one answers it."""
-        fleet = await whole_fleet(nursery)
+    async def test_retries_on_another_server(self, nursery, autojump_clock, fault):
+        """An idempotent call that fails at one server succeeds at another one."""
+        fleet = await start_fleet(nursery)
         fleet.plains["p1"].faults.append(PlainFault(fault, count=1000))
         async with fleet.caller() as caller:
             for _ in range(6):
                 assert (await caller.get(STOCK)).status_code == 200
 
-    async def test_never_twice_at_one_server(self, nursery, autojump_clock):
-        fleet = await whole_fleet(nursery)
+    async def test_each_server_is_tried_once(self, nursery, autojump_clock):
+        fleet = await start_fleet(nursery)
         fail_all(fleet, fault="refuse", count=1000)
         async with fleet.caller() as caller:
-            answer = await caller.get(STOCK)
-        assert answer.status_code == 503
+            response = await caller.get(STOCK)
+        assert response.status_code == 503
         left = [plain.faults[0].count for plain in fleet.plains.values()]
         assert left == [999, 999]
 
     async def test_retries_have_a_budget(self, nursery, autojump_clock):
-        """The whole service fails.
+        """Retries are limited when the whole service fails.
 
-        Retries would double its load and keep it down; after the saved ones are used
-        up each call is tried once.
+        Unlimited retries would double the load and prevent a recovery. After the budget
+        is used up, each call is tried once.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         fail_all(fleet, fault="refuse", count=1000)
         async with fleet.caller() as caller:
             for _ in range(50):
@@ -145,12 +145,12 @@
         assert 50 < tries <= 60
 
     async def test_silent_server(self, nursery, autojump_clock):
-        """A server takes calls and never answers.
+        """A server that accepts calls and never responds is ejected.
 
-        The other one answers within the deadline, and the silent one is left out
+        The other server responds within the deadline, and the silent one is ejected
         after three such calls.
         """
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         silent = PlainFault("silent_before", count=1000)
         fleet.plains["p1"].faults.append(silent)
         async with fleet.caller() as caller:
@@ -159,17 +159,17 @@
         assert 1000 - silent.count <= 4
 
     async def test_deadline(self, nursery, autojump_clock):
-        fleet = await whole_fleet(nursery)
+        fleet = await start_fleet(nursery)
         fail_all(fleet, fault="silent_before")
         started_s = trio.current_time()
         async with fleet.caller() as caller:
-            answer = await caller.get(STOCK, headers={"Rosemaryknot-Deadline": "0.5"})
+            response = await caller.get(STOCK, headers={"Rosemaryknot-Deadline": "0.5"})
         assert trio.current_time() - started_s == pytest.approx(0.5, abs=0.1)
-        assert answer.json()["outcome"] == "unknown"
+        assert response.json()["outcome"] == "unknown"
 
 
 class TestServerHealth:
-    async def test_ejects_and_takes_back(self, autojump_clock):
+    async def test_ejects_and_readmits(self, autojump_clock):
         health, servers = ServerHealth(), [server("a"), server("b"), server("c")]
         for _ in range(3):
             health.record_failure("a")
@@ -177,8 +177,8 @@
         await trio.sleep(5.0)
         assert len(health.usable(servers)) == 3
 
-    async def test_floor(self, autojump_clock):
-        """All servers fail: half of them stay in use, those ejected first."""
+    async def test_min_usable_servers(self, autojump_clock):
+        """If all servers fail, the half that was ejected first stays in use."""
         health, servers = ServerHealth(), [server(name) for name in "abcd"]
         for name in "abcd":
             for _ in range(3):
--- a/tests/request/test_relay.py
+++ b/tests/request/test_relay.py
@@ -1,4 +1,4 @@
-"""Tests of the relay against stand-in engines, in virtual time."""
+"""Tests of the relay with stand-in engines, in virtual time."""
 
 import pytest
 import trio
@@ -14,11 +14,11 @@
 
 
 async def read_all(generation, offset=0, lineage="") -> bytes:
-    return b"".join([part async for part in generation.follow(offset, lineage)])
+    return b"".join([chunk async for chunk in generation.subscribe(offset, lineage)])
 
 
 class TestModelRelay:
-    async def test_relays_a_whole_answer(self, nursery, autojump_clock):
+    async def test_relays_a_complete_response(self, nursery, autojump_clock):
         fleet = await Fleet().start(nursery, "waco-a", "waco-b")
         generation = await fleet.request()
         events = events_of(await read_all(generation))
@@ -27,16 +27,16 @@
         assert texts == generation.token_texts()
         assert events[-2:] == [{"outcome": "answered", "tokens": len(texts)}, "[DONE]"]
 
-    async def test_caller_who_goes_away_loses_nothing(self, nursery, autojump_clock):
-        """A caller reads ten tokens and hangs up; it asks again from there.
+    async def test_disconnected_caller_loses_nothing(self, nursery, autojump_clock):
+        """A caller disconnects after ten tokens and resumes from there.
 
-        The generation runs on without it, so the pick-up gives the rest of the same
-        answer, and nothing is computed twice.
+        The generation continues without it, so the caller gets the rest of the same
+        response, and nothing is recomputed.
         """
         fleet = await Fleet().start(nursery, "waco-a")
         generation = await fleet.request()
         with trio.CancelScope() as caller:
-            async for _ in generation.follow():
+            async for _ in generation.subscribe():
                 if len(generation.tokens) >= 10:
                     caller.cancel()
         await generation.wait_finished()
@@ -53,13 +53,14 @@
         assert (refusal.reason, refusal.retry_after_s > 0) == (Reason.NO_SERVER, True)
 
     async def test_accepted_work_waits_for_a_server(self, nursery, autojump_clock):
-        """The only engine dies, and another one starts ten seconds later.
+        """An accepted request waits if the only engine stops.
 
-        The request was accepted, so its caller sees a pause and then the rest.
+        Another engine starts ten seconds later, and the caller gets the rest after the
+        gap.
         """
         fleet = await Fleet().start(nursery, "waco-a")
         generation = await fleet.request()
-        await generation.wait_beyond(20)
+        await generation.wait_for_tokens(20)
         fleet.kill("e0")
         fleet.servers.mark_terminated("e0", "list")
         await trio.sleep(10)
@@ -71,10 +72,10 @@
     async def test_deadline_ends_the_stream_with_an_outcome(
         self, nursery, autojump_clock
     ):
-        """The engine is so slow that the caller's deadline passes midway.
+        """The deadline passes while a slow engine streams.
 
-        The stream's last event gives the outcome at the deadline, not later, and
-        the engine is told to stop.
+        The last event of the stream gives the outcome at the deadline, not later, and
+        the request is cancelled at the engine.
         """
         fleet = await Fleet().start(nursery, "waco-a", step_time_s=0.05)
         generation = await fleet.request(timeout_s=2.0)
@@ -95,39 +96,40 @@
 
 class TestLostServers:
     async def test_engine_killed_midway(self, nursery, autojump_clock):
-        """The engine dies while its answer streams.
+        """An engine stops while its response is streamed.
 
-        The caller sees one pause and then the rest: the relay resumes at another
-        server from the prompt and the tokens that were emitted, in one lineage.
+        The relay resumes at another server from the prompt and the emitted tokens, so
+        the caller gets the rest in the same lineage after one gap.
         """
         fleet = await Fleet().start(nursery, "waco-a", "waco-b")
         generation = await fleet.request(max_tokens=400)
-        await generation.wait_beyond(50)
+        await generation.wait_for_tokens(50)
         fleet.kill(fleet.server_of(generation))
         await generation.wait_finished()
         assert_whole(generation)
         assert generation.attempts == 2
 
-    async def test_engine_vanishes_without_a_reset(self, nursery, autojump_clock):
-        """The machine is gone: its connections stay open and nothing answers.
+    async def test_engine_stops_without_a_reset(self, nursery, autojump_clock):
+        """A machine stops without closing its connections.
 
-        The stream falls silent; the question over a new connection finds nobody;
-        the rest comes from another server within two seconds.
+        The stream is silent and the status request over a new connection gets no
+        response. The rest comes from another server within two seconds.
         """
         fleet = await Fleet().start(nursery, "waco-a", "waco-b")
         generation = await fleet.request(max_tokens=400)
-        await generation.wait_beyond(50)
+        await generation.wait_for_tokens(50)
         fleet.network.cut(fleet.network.host, fleet.host(fleet.server_of(generation)))
         with trio.fail_after(2.0):
-            await generation.wait_beyond(len(generation.tokens))
+            await generation.wait_for_tokens(len(generation.tokens))
         await generation.wait_finished()
         assert_whole(generation)
 
-    async def test_leaving_engine_refuses(self, nursery, autojump_clock):
-        """A notice has reached the engine and not yet us: it answers 503, leaving.
+    async def test_draining_engine_refuses(self, nursery, autojump_clock):
+        """An engine refuses requests before the relay receives its reclaim notice.
 
-        The request goes to the other server at once, and the mark spreads from
-        here: the next request is not sent to the leaving one.
+        The engine responds with 503 and states that it is draining. The request goes
+        to the other server immediately, and the server is marked as draining, so the
+        next request is not sent there.
         """
         fleet = await Fleet().start(nursery, "waco-a", "waco-b")
         fleet.engines["e0"].leaving = True
@@ -139,10 +141,10 @@
         assert generation.attempts == 1
 
     async def test_full_queues_make_accepted_work_wait(self, nursery, autojump_clock):
-        """Every engine refuses for a full queue while ten requests are accepted.
+        """Accepted requests wait while the queues of all engines are full.
 
-        Each waits and comes in when there is room; none is refused after it was
-        accepted.
+        Each of the ten requests runs when there is free capacity; none is refused after
+        it was accepted.
         """
         fleet = await Fleet().start(nursery, "waco-a", slots=1, max_waiting=1)
         generations = [await fleet.request(f"r{n}") for n in range(10)]
@@ -153,27 +155,27 @@
 
 class TestSilentAndCrossed:
     async def test_silent_connection(self, nursery, autojump_clock):
-        """Something in between loses track of the connection; new ones work.
+        """A network device drops the state of a connection; new connections work.
 
-        The engine goes on computing for nobody. Asked over a new connection it says
-        that it is ahead, and the stream is taken up there from where it stands: the
-        caller sees a pause below a second, and nothing is computed again.
+        The engine continues to compute. A status request over a new connection shows
+        that it is ahead, so the stream is resumed there: the gap is less than a second,
+        and nothing is recomputed.
         """
         fleet = await Fleet().start(nursery, "waco-a", "waco-b")
         generation = await fleet.request(max_tokens=600)
-        await generation.wait_beyond(50)
+        await generation.wait_for_tokens(50)
         first = fleet.server_of(generation)
         assert fleet.silence(first)
         known = len(generation.tokens)
         with trio.fail_after(1.0):
-            await generation.wait_beyond(known + 1)
+            await generation.wait_for_tokens(known + 1)
         assert fleet.server_of(generation) == first
         await generation.wait_finished()
         assert_whole(generation)
         assert fleet.recomputed() == 0
 
     async def test_silent_before_the_first_byte(self, nursery, autojump_clock):
-        """The connection goes silent when the request has just been sent."""
+        """A connection becomes silent just after the request was sent."""
         fleet = await Fleet().start(nursery, "waco-a")
         generation = await fleet.request()
         await trio.sleep(0.001)
@@ -182,10 +184,11 @@
         assert trio.current_time() < 3.0
         assert_whole(generation)
 
-    async def test_late_answer_is_dropped(self, nursery, autojump_clock):
-        """One engine answers ten seconds late; the request has long moved on.
+    async def test_late_response_is_dropped(self, nursery, autojump_clock):
+        """The response of an engine arrives ten seconds late and is dropped.
 
-        What comes late from it reaches nobody: its connection was closed.
+        The request has been resumed elsewhere, and the connection was closed, so late
+        data reaches no caller.
         """
         fleet = await Fleet().start(nursery, "waco-a", "waco-b")
         fleet.engines["e0"].faults.late_s = 10.0
@@ -198,38 +201,38 @@
             assert_whole(generation)
 
     async def swap(self, nursery, after, **safeguards) -> list:
-        """Run two requests whose answers are exchanged after some tokens."""
+        """Run two requests whose responses are swapped after some tokens."""
         fleet = await Fleet(**safeguards).start(nursery, "waco-a")
         generations = [await fleet.request(f"r{n}", max_tokens=400) for n in range(2)]
         for generation in generations:
-            await generation.wait_beyond(after - 1)
+            await generation.wait_for_tokens(after - 1)
         fleet.engines["e0"].apply_faults({"swap": True})
         for generation in generations:
             await generation.wait_finished()
         return generations
 
     @pytest.mark.parametrize("after", [0, 30])
-    async def test_swapped_answers(self, after, nursery, autojump_clock):
-        """Two open connections get each other's answer from one token on.
+    async def test_swapped_responses(self, after, nursery, autojump_clock):
+        """The responses of two open connections are swapped from one token on.
 
-        Each frame names its request, so neither text reaches the other caller: both
-        connections are closed and both answers are taken up anew.
+        Each frame contains its request id, so no text reaches the wrong caller: both
+        connections are closed and both responses are resumed.
         """
         for generation in await self.swap(nursery, after):
             assert_whole(generation)
 
-    async def test_swapped_answers_cross_without_the_check(
+    async def test_swapped_responses_cross_without_the_check(
         self, nursery, autojump_clock
     ):
-        """With the check off an estimator gets another one's whole cut order."""
+        """Without the id check, a caller gets the response of another caller."""
         one, other = await self.swap(nursery, 0, id_check=False)
         assert one.token_texts() == expected(other)
 
     async def mix_lineages(self, nursery, **safeguards):
-        """Have the engine go on with another sample of the same answer."""
+        """Make the engine continue with another sample of the same response."""
         fleet = await Fleet(**safeguards).start(nursery, "waco-a", "waco-b")
         generation = await fleet.request(max_tokens=400)
-        await generation.wait_beyond(30)
+        await generation.wait_for_tokens(30)
         engine = fleet.engines[fleet.server_of(generation)]
         other = engine.batch.generations["r1"]
         other.lineage, other.seed = "foreign", other.seed + 1
@@ -237,15 +240,15 @@
         return generation
 
     async def test_foreign_lineage(self, nursery, autojump_clock):
-        """The engine's stream goes on with text of another lineage.
+        """An engine's stream continues with text of another lineage.
 
-        Two samples of one prompt are both right and do not fit together. The
-        foreign frame closes the connection, and the answer goes on in its own.
+        Two samples of one prompt are both valid but must not be joined. The frame of
+        the other lineage closes the connection, and the response continues in its own.
         """
         assert_whole(await self.mix_lineages(nursery))
 
     async def test_lineages_mix_without_the_check(self, nursery, autojump_clock):
-        """With the check off the answer is spliced of two samples."""
+        """Without the lineage check, the response is a mix of two samples."""
         generation = await self.mix_lineages(nursery, lineage_check=False)
         assert generation.token_texts() != expected(generation)
 
@@ -254,7 +257,7 @@
     async def running(self, nursery, fleet, count, **options) -> list:
         generations = [await fleet.request(f"r{n}", **options) for n in range(count)]
         for generation in generations:
-            await generation.wait_beyond(100)
+            await generation.wait_for_tokens(100)
         return generations
 
     async def finish(self, generations) -> None:
@@ -270,10 +273,10 @@
         assert generation.attempts == 1
 
     async def test_long_stream_moves_its_kv(self, nursery, autojump_clock):
-        """A notice of three seconds for a server with a long answer.
+        """A long stream is moved within a notice of three seconds.
 
-        Its KV cache goes to a server of another zone while it streams on; the
-        stream switches over, and only what was emitted meanwhile is prefilled.
+        Its KV cache is transferred to a server in another zone while the stream
+        continues. After the switch, only the tokens emitted meanwhile are prefilled.
         """
         fleet = await Fleet().start(nursery, "waco-a", "waco-a", "waco-b")
         (generation,) = await self.running(
@@ -298,10 +301,10 @@
         assert {fleet.server_of(g) for g in generations if g.outcome is None} == set()
 
     async def test_notice_during_the_prefill(self, nursery, autojump_clock):
-        """The notice comes while a long plan set is still being read.
+        """A notice arrives during the prefill of a long prompt.
 
-        Three seconds are enough to end the prefill and move its result; resuming at
-        once would read the plan set twice.
+        Three seconds are enough to finish the prefill and move its KV cache. An
+        immediate resume would prefill the prompt twice.
         """
         fleet = await Fleet().start(nursery, "waco-a", "waco-b")
         generation = await fleet.request(words=3000, max_tokens=3000)
@@ -314,11 +317,11 @@
         await self.finish([generation])
         assert fleet.recomputed() < 500
 
-    async def test_wave_hits_the_target_of_the_move(self, nursery, autojump_clock):
-        """While a stream's KV cache is on its way, the target gets a notice too.
+    async def test_reclaim_wave_hits_the_move_target(self, nursery, autojump_clock):
+        """The target of a move gets a reclaim notice during the transfer.
 
-        The import is given up at once and goes to the next server: waiting for it would
-        leave no time for a second one.
+        The import is cancelled immediately and another server is used: waiting for the
+        import would leave no time for a second one.
         """
         fleet = await Fleet().start(
             nursery, "waco-a", "waco-b", "temple-c", kv_bytes_per_s=1.9e8
@@ -339,10 +342,11 @@
         await self.finish([generation])
         assert fleet.recomputed() < 600
 
-    async def test_source_dies_during_the_move(self, nursery, autojump_clock):
-        """The leaving server is taken away before its deadline, amid an export.
+    async def test_source_stops_during_the_move(self, nursery, autojump_clock):
+        """A draining server stops before its deadline, during an export.
 
-        The import cannot end; the stream resumes elsewhere from what was emitted.
+        The import cannot finish, and the stream resumes on another server from the
+        emitted tokens.
         """
         fleet = await Fleet().start(
             nursery, "waco-a", "waco-b", "temple-c", kv_bytes_per_s=4e8
@@ -355,8 +359,8 @@
         fleet.kill(source)
         await self.finish(generations)
 
-    async def test_target_dies_after_the_move(self, nursery, autojump_clock):
-        """The stream has just switched over when its new server dies."""
+    async def test_target_stops_after_the_move(self, nursery, autojump_clock):
+        """The new server of a stream stops just after the switch."""
         fleet = await Fleet().start(nursery, "waco-a", "waco-b", "temple-c")
         (generation,) = await self.running(nursery, fleet, 1, max_tokens=3000)
         source = fleet.server_of(generation)
@@ -367,9 +371,9 @@
         await self.finish([generation])
 
     async def test_last_server_keeps_its_streams(self, nursery, autojump_clock):
-        """Every server is leaving: the streams go on where they are.
+        """Streams continue on their server if all servers are draining.
 
-        They wait when their server is gone, and end at the one that starts later.
+        They wait after the server has stopped, and end at one that starts later.
         """
         fleet = await Fleet().start(nursery, "waco-a")
         generations = await self.running(nursery, fleet, 2, max_tokens=3000)
@@ -382,25 +386,25 @@
         await fleet.add(nursery, "e9", "waco-b")
         await self.finish(generations)
 
-    async def test_recovered_work_goes_first(self, nursery, autojump_clock):
-        """The only other server is full of requests that came later.
+    async def test_recovered_requests_have_priority(self, nursery, autojump_clock):
+        """A request that lost its server has priority over later requests.
 
-        The accepted answer that lost its server pauses one of them and is refused
-        by nobody.
+        The only other server is full. The engine pauses a later request instead of
+        refusing the recovered one.
         """
         fleet = await Fleet().start(nursery, "waco-a", "waco-b", slots=2)
-        await trio.sleep(2)  # the first load reports tell the number of slots
+        await trio.sleep(2)  # the first load reports contain the number of slots
         generations = await self.running(nursery, fleet, 4, max_tokens=1000, priority=5)
         lost = fleet.server_of(generations[0])
         fleet.kill(lost)
         known = len(generations[0].tokens)
         with trio.fail_after(2.0):
-            await generations[0].wait_beyond(known)
+            await generations[0].wait_for_tokens(known)
         await self.finish(generations)
 
 
 class TestStop:
-    async def test_followers_are_told_when_the_relay_ends(
+    async def test_subscribers_get_outcome_when_relay_stops(
         self, nursery, autojump_clock
     ):
         fleet = Fleet()
@@ -408,7 +412,7 @@
         async with trio.open_nursery() as process:
             await process.start(fleet.relay.run)
             generation = await fleet.request(max_tokens=3000)
-            await generation.wait_beyond(10)
+            await generation.wait_for_tokens(10)
             process.cancel_scope.cancel()
         assert isinstance(generation.outcome, Unknown)
         assert events_of(await read_all(generation))[-1] == "[DONE]"
--- a/tests/request/test_routes.py
+++ b/tests/request/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of the route policies and of what is known of load."""
+"""Tests of the route policies and of load estimates."""
 
 import math
 from collections import Counter
@@ -31,15 +31,15 @@
             "prompt_tokens": 1000,
             "remaining_tokens": 500,
             "priority": 0,
-            "time_left_s": 60,
+            "remaining_s": 60,
             **changes,
         }
     )
 
 
-def choose(policy, candidates, seed=0, turn=0):
-    given = RouteInput(facts(), candidates, 0.0, seed, turn)
-    return choose_route(policy, given).server.instance
+def choose(policy, candidates, seed=0, choice_count=0):
+    inputs = RouteInput(facts(), candidates, 0.0, seed, choice_count)
+    return choose_route(policy, inputs).server.instance
 
 
 class TestPolicies:
@@ -47,7 +47,9 @@
         one = Candidate(server("a"), requests=3, cached_tokens=500)
         other = Candidate(server("b"), requests=1)
         both = [one, other]
-        assert [choose("round_robin", both, turn=t) for t in range(3)] == [*"aba"]
+        assert [choose("round_robin", both, choice_count=t) for t in range(3)] == [
+            *"aba"
+        ]
         assert choose("least_loaded", both) == "b"
         assert choose("prefix_only", both) == "a"
 
@@ -58,17 +60,17 @@
             {"prefill_tokens": 0.0},
             {"requests": 2.0},
             {"step_time_ms": 2.0},
-            {"time_left_s": math.inf},
+            {"remaining_s": math.inf},
         ],
     )
-    def test_each_fact_counts(self, better):
-        """Two servers differ in one thing; the better one is chosen by any seed."""
+    def test_each_property_affects_the_choice(self, better):
+        """Of two servers that differ in one property, the better one is chosen."""
         common = {
             "requests": 40.0,
             "slots": 32,
             "step_time_ms": 4.0,
             "prefill_tokens": 900.0,
-            "time_left_s": 2.0,
+            "remaining_s": 2.0,
         }
         worse = Candidate(server("a"), **common)
         best = Candidate(server("b"), **{**common, **better})
@@ -83,23 +85,27 @@
             assert choose("estimated_time", candidates[::-1], seed) == first
 
     def test_no_herd_on_the_same_stale_minimum(self):
-        """Forty instances read the same late report in which one server is idle.
+        """Instances with the same stale load report do not all choose one server.
 
-        Each chooses before it sees the others' requests. The idle server gets more
-        than its share, yet far from all; by least load it gets every one.
+        Forty instances choose from a report with one idle server, before they see each
+        other's requests. The idle server gets more than its share, but far from all;
+        with `least_loaded` it gets all of them.
         """
         loads = [0.0] + [34.0 + n for n in range(11)]
         candidates = [Candidate(server(f"e{n}"), load) for n, load in enumerate(loads)]
-        ours = Counter(choose("estimated_time", candidates, s) for s in range(40))
-        theirs = Counter(choose("least_loaded", candidates, s) for s in range(40))
-        assert theirs["e0"] == 40
-        assert 3 < ours["e0"] < 20
-
-    def test_the_free_one_of_few_servers_is_found(self):
-        """Seven engines are full and one is free, in a fleet of the users' size.
-
-        Two servers drawn at random would mostly be full ones, and the caller would
-        wait for a slot while another server idles.
+        estimated = Counter(choose("estimated_time", candidates, s) for s in range(40))
+        by_least_load = Counter(
+            choose("least_loaded", candidates, s) for s in range(40)
+        )
+        assert by_least_load["e0"] == 40
+        assert 3 < estimated["e0"] < 20
+
+    def test_free_server_of_small_fleet_is_found(self):
+        """In a small fleet, the only free server is found.
+
+        Seven engines are full and one is free, as in the users' fleets. A random sample
+        of two servers would mostly contain full ones, and the caller would wait for a
+        slot while another server is idle.
         """
         candidates = [Candidate(server(f"e{n}"), 34.0 + n) for n in range(7)]
         candidates.append(Candidate(server("free"), 3.0))
@@ -111,10 +117,11 @@
 
 
 class TestServerLoad:
-    async def test_report_is_corrected_by_what_we_sent(self, autojump_clock):
-        """The report was made before our five requests and arrives after them.
+    async def test_report_is_corrected_by_sent_requests(self, autojump_clock):
+        """Requests sent after a report was made are added to its load.
 
-        Uncorrected it would call the server idle, and we would send five more.
+        The report was made before five requests and arrives after them. Uncorrected, it
+        would show the server as idle, and five more requests would be sent.
         """
         load = ServerLoad()
         await trio.sleep(10)
@@ -136,7 +143,7 @@
 
 
 class TestPrefixEstimate:
-    def test_fades_and_learns(self):
+    def test_decays_and_adapts(self):
         blocks = prompt_blocks(["beam " * 500])
         estimate = PrefixEstimate()
         assert estimate.guess(blocks, 0.0).share == 0
@@ -159,26 +166,26 @@
 
 
 class TestRouter:
-    async def test_conversation_goes_back_to_its_server(self, nursery, autojump_clock):
-        """A long prompt comes again; the server that computed it has it cached.
+    async def test_conversation_returns_to_its_server(self, nursery, autojump_clock):
+        """A repeated long prompt goes to the server that has it cached.
 
-        All servers are idle, so any would do; the cached prefix decides, and the
-        engine's own report of cached tokens bears it out.
+        All servers are idle, so only the cached prefix makes a difference. The cached
+        tokens that the engine reports confirm the choice.
         """
         fleet = await Fleet().start(nursery, *["waco-a"] * 6)
         first = await fleet.request("r1", words=1500)
-        await first.wait_beyond(0)
+        await first.wait_for_tokens(0)
         used = fleet.server_of(first)
         await first.wait_finished()
         request = first.request
         for name, share in ((used, 0), ("elsewhere", 1)):
             server = BackendServer(name, "s", "", "", True, "")
-            cached = fleet.relay.router.cached_elsewhere(server, request)
+            cached = fleet.relay.router.cached_share_elsewhere(server, request)
             assert cached == pytest.approx(share, abs=0.1)
         for number in range(2, 6):
             request.request_id = f"r{number}"
             generation = await fleet.relay.start(request)
-            await generation.wait_beyond(0)
+            await generation.wait_for_tokens(0)
             assert fleet.server_of(generation) == used
             await generation.wait_finished()
             assert generation.cached_tokens > 1400
--- a/tests/request/test_shutdown_admission.py
+++ b/tests/request/test_shutdown_admission.py
@@ -12,11 +12,11 @@
     RefusedInShutdown,
     ShutdownInput,
 )
-from rosemaryknot.values.gateway_answers import PlannedStop
+from rosemaryknot.values.gateway_responses import ShutdownSchedule
 
 decide = SHUTDOWN_ADMISSION_RULES[SHUTDOWN_ADMISSION_RULE]
-GRACE = PlannedStop(signalled_s=0.0, left_out_s=2.6, ends_s=7.4)
-SHORT_GRACE = PlannedStop(signalled_s=0.0, left_out_s=2.6, ends_s=1.4)
+GRACE = ShutdownSchedule(signalled_s=0.0, deregistered_s=2.6, ends_s=7.4)
+SHORT_GRACE = ShutdownSchedule(signalled_s=0.0, deregistered_s=2.6, ends_s=1.4)
 UNKNOWN = DurationEstimate(1.0, 0, None)
 
 times = st.floats(0, 100)
@@ -27,7 +27,7 @@
 def inputs(draw):
     """Return any input, also with a grace period shorter than the balancer needs."""
     signalled_s = draw(times)
-    stop = PlannedStop(
+    stop = ShutdownSchedule(
         signalled_s, signalled_s + draw(durations), signalled_s + draw(durations)
     )
     now_s = signalled_s + draw(durations)
--- a/tests/version/documents.py
+++ b/tests/version/documents.py
@@ -1,4 +1,4 @@
-"""A configuration document for tests."""
+"""Configuration documents and patches for tests."""
 
 from rosemaryknot.version.keys import new_key, new_operator_key
 
@@ -8,7 +8,7 @@
 
 
 def sample_document() -> dict:
-    """Return two services, one customer, an editor and a viewer."""
+    """Return a document with two services, a customer, an editor and a viewer."""
     return {
         "services": {
             "kit-assistant": {"kind": "model", "step_time_ms": 3},
@@ -30,11 +30,11 @@
 
 
 def count_patch(zone: str, count: int) -> list[dict]:
-    """Return the operations that set kit-assistant's instances in a zone."""
+    """Return the operations that set the count of kit-assistant in a zone."""
     path = f"/placements/kit-assistant/{zone}/count"
     return [{"op": "replace", "path": path, "value": count}]
 
 
 def first_patch() -> list[dict]:
-    """Return the operations that make the sample of an empty document."""
+    """Return the operations that turn an empty document into the sample."""
     return [{"op": "add", "path": "", "value": sample_document()}]
--- a/tests/version/platform.py
+++ b/tests/version/platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in with a client, in virtual time."""
+"""Simulated platform with clients, in virtual time."""
 
 from contextlib import asynccontextmanager
 
@@ -17,18 +17,20 @@
 PLATFORM = Address("127.0.9.9", 7000)
 
 
-class Bench:
-    """One platform and as many operators' agents as a test asks for."""
+class PlatformHarness:
+    """One simulated platform and any number of operators' agents."""
 
     def __init__(self) -> None:
         self.network = MemoryNetwork("127.0.9.1")
         self.standin = PlatformStandIn()
 
-    def agent(self, held_by: ConfigurationStore | None = None) -> ConfigurationStore:
-        """Return the store of another agent, which holds what the given one holds."""
+    def agent(
+        self, source_agent: ConfigurationStore | None = None
+    ) -> ConfigurationStore:
+        """Return the store of another agent, with the given agent's current version."""
         holder = ConfigurationHolder(ConfigurationView.from_document)
-        if held_by is not None:
-            holder.apply_push(held_by.holder.push, "test")
+        if source_agent is not None:
+            holder.apply_push(source_agent.holder.push, "test")
         client = PlatformClient(self.network, PLATFORM)
         return ConfigurationStore(client, holder, lambda: 1000.0)
 
@@ -38,18 +40,18 @@
 
 
 @asynccontextmanager
-async def running_bench():
-    """Serve a platform that holds version 1."""
-    bench = Bench()
+async def running_harness():
+    """Serve a platform without a stored configuration."""
+    harness = PlatformHarness()
     async with trio.open_nursery() as nursery:
-        platform = bench.network.with_host(PLATFORM.host)
-        await nursery.start(bench.standin.serve, platform, PLATFORM)
-        yield bench
+        platform = harness.network.with_host(PLATFORM.host)
+        await nursery.start(harness.standin.serve, platform, PLATFORM)
+        yield harness
         nursery.cancel_scope.cancel()
 
 
-async def first_agent(bench: Bench) -> ConfigurationStore:
-    """Return an agent that has stored version 1."""
-    agent = bench.agent()
+async def first_agent(harness: PlatformHarness) -> ConfigurationStore:
+    """Return an agent after it has stored version 1."""
+    agent = harness.agent()
     await agent.submit(Patch("patch-first", 0, first_patch(), "ana"))
     return agent
--- a/tests/version/test_document.py
+++ b/tests/version/test_document.py
@@ -1,4 +1,4 @@
-"""Documents, views and keys."""
+"""Validation of documents, views, API keys and JSON Patch errors."""
 
 import math
 
@@ -17,7 +17,7 @@
 
 
 class TestDocumentProblems:
-    def test_sample_is_good(self):
+    def test_sample_is_valid(self):
         assert document_problems(sample_document()) == []
 
     def test_all_problems_at_once_with_paths(self):
@@ -45,7 +45,7 @@
         assert paths == ["/placements/dispatch-app", "/keys/k1/customer"]
 
     @pytest.mark.parametrize("value", [math.nan, math.inf, 10**400, "5", True])
-    def test_numbers_that_no_message_carries(self, value):
+    def test_numbers_that_no_message_can_encode(self, value):
         document = sample_document()
         document["services"]["kit-assistant"]["timeout_s"] = value
         found = [problem.path for problem in document_problems(document)]
@@ -57,11 +57,11 @@
         "path",
         ["/stock-booking", "/stock/../slots", "/stock/%2e%2e/slots", "/stock//x"],
     )
-    def test_paths_that_may_mean_another(self, path):
-        """A booking hides behind the prefix of a rule for reads.
+    def test_ambiguous_paths(self, path):
+        """The path of a booking starts with the prefix of a rule for reads.
 
-        The entry would repeat it as idempotent, and the backend server, which reads
-        the path in another way, would book the slot twice.
+        The entry would repeat the request as idempotent. The backend server, which
+        normalizes the path, would book the slot twice.
         """
         assert not IdempotentRule("GET", "/stock").matches("GET", path)
 
@@ -83,9 +83,9 @@
         assert view.operator_for_key(CUSTOMER_KEY) is None
 
     def test_fields_of_a_newer_release_are_ignored(self):
-        """A newer agent accepted a field that this node does not know yet.
+        """A newer agent has accepted a field that this node does not know yet.
 
-        To refuse the version would leave the node on the old one for the whole
+        If the node rejected the version, it would use the old one throughout the
         rolling upgrade.
         """
         document = sample_document()
@@ -95,7 +95,7 @@
         view = ConfigurationView.from_document(1, document)
         assert view.placements["kit-assistant"]["waco-a"].count == 2
 
-    def test_whole_floats_do_not_change_the_digest(self):
+    def test_integral_floats_do_not_change_digest(self):
         document = sample_document()
         digest = document_digest(document)
         document["services"]["kit-assistant"]["step_time_ms"] = 3.0
@@ -112,11 +112,11 @@
             {"op": "move", "from": "/keys/k2", "path": "/keys/k3"},
         ],
     )
-    def test_refusal_shows_no_document(self, operation):
-        """An operator mistypes a member's name.
+    def test_error_does_not_quote_document(self, operation):
+        """An operator mistypes the name of a member.
 
-        The refusal names the member. It must not quote what was searched: pages of
-        JSON on the terminal, and the digests of all keys in them.
+        The error names the member. It must not quote the value that was searched,
+        which is pages of JSON with the digests of all keys.
         """
         document = {"keys": {"k1": {"salt": "ab", "sha256": "cd"}}}
         problems = apply_operations(document, [operation])
--- a/tests/version/test_operators_api.py
+++ b/tests/version/test_operators_api.py
@@ -1,4 +1,4 @@
-"""Operators' API over HTTP: who may do what, and the status of each outcome."""
+"""Operators' API over HTTP: authorization, and the status of each outcome."""
 
 import json
 from contextlib import asynccontextmanager
@@ -11,7 +11,7 @@
     count_patch,
     first_patch,
 )
-from tests.version.platform import Bench, running_bench
+from tests.version.platform import PlatformHarness, running_harness
 
 from rosemaryknot.connection.http_client import http_client
 from rosemaryknot.connection.http_server import HttpServer
@@ -22,19 +22,23 @@
 BOOTSTRAP_KEY = "bootstrap-secret"
 
 
-class Api:
-    """Calls on one agent."""
+class ApiClient:
+    """Client of one agent's API."""
 
-    def __init__(self, bench: Bench, client) -> None:
-        self.bench = bench
+    def __init__(self, harness: PlatformHarness, client) -> None:
+        self.harness = harness
         self.client = client
 
     async def call(self, method, path, key=EDITOR_KEY, content=None, **headers):
-        sent = {name.replace("_", "-"): value for name, value in headers.items()}
-        sent["Authorization"] = f"Bearer {key}"
+        request_headers = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
+        request_headers["Authorization"] = f"Bearer {key}"
         url = f"http://{AGENT}/v1{path}"
-        answer = await self.client.request(method, url, headers=sent, content=content)
-        return answer.status_code, answer.json()
+        response = await self.client.request(
+            method, url, headers=request_headers, content=content
+        )
+        return response.status_code, response.json()
 
     async def patch(self, operations, base, key=EDITOR_KEY, path="", name="first"):
         headers = {"If_Match": str(base), "Rosemaryknot_Patch": f"patch-{name}"}
@@ -46,19 +50,19 @@
 @asynccontextmanager
 async def running_api():
     """Serve one agent's API; no configuration is stored yet."""
-    async with running_bench() as bench, trio.open_nursery() as nursery:
-        agent = bench.agent()
+    async with running_harness() as harness, trio.open_nursery() as nursery:
+        agent = harness.agent()
         app = operators_app(agent.holder, agent, BOOTSTRAP_KEY)
-        network = bench.network.with_host(AGENT.host)
+        network = harness.network.with_host(AGENT.host)
         await nursery.start(HttpServer(app, network).serve, AGENT)
-        async with http_client(bench.network, 20.0) as client:
-            yield Api(bench, client)
+        async with http_client(harness.network, 20.0) as client:
+            yield ApiClient(harness, client)
         nursery.cancel_scope.cancel()
 
 
 class TestOperatorsApi:
-    async def test_bootstrap_key_ends_with_the_first_editor(self, autojump_clock):
-        """The key of the settings makes the first version and nothing after it."""
+    async def test_bootstrap_key_is_invalid_after_first_editor(self, autojump_clock):
+        """The bootstrap key of the settings can create the first version only."""
         async with running_api() as api:
             status, body = await api.patch(first_patch(), 0, key=BOOTSTRAP_KEY)
             assert (status, body["number"]) == (200, 1)
@@ -70,8 +74,8 @@
             await api.patch(first_patch(), 0, key=BOOTSTRAP_KEY)
             change = count_patch("waco-b", 3)
             for key, status in [("x.y", 401), (CUSTOMER_KEY, 401), (VIEWER_KEY, 403)]:
-                answer = await api.patch(change, 1, key=key, name="change")
-                assert answer[0] == status
+                response = await api.patch(change, 1, key=key, name="change")
+                assert response[0] == status
             status, body = await api.call("GET", "/configuration", VIEWER_KEY)
             assert (status, body["number"]) == (200, 1)
 
@@ -87,8 +91,11 @@
             assert (stale[0], stale[1]["number"]) == (412, 2)
             assert stale[1]["changes"][0]["author"] == "ana"
             lost = [{"op": "remove", "path": "/placements/dispatch-app"}]
-            asked = await api.patch(lost, 2, name="danger")
-            assert (asked[0], asked[1]["dangers"][0]["word"]) == (409, "dispatch-app")
+            refused = await api.patch(lost, 2, name="danger")
+            assert (refused[0], refused[1]["dangers"][0]["word"]) == (
+                409,
+                "dispatch-app",
+            )
             path = "?confirm=dispatch-app"
             assert (await api.patch(lost, 2, path=path, name="danger"))[0] == 200
             status, body = await api.call("GET", "/patches/patch-change?base=1")
@@ -101,7 +108,7 @@
             assert body["base"] == 3
 
     async def test_bad_input(self, autojump_clock):
-        """Whatever an operator's program sends, it gets a sentence and no 500."""
+        """Invalid requests get an error description, never a status of 500."""
         async with running_api() as api:
             await api.patch(first_patch(), 0, key=BOOTSTRAP_KEY)
             path, name = "/configuration", "patch-bad"
@@ -125,14 +132,14 @@
                 ),
             ]
             for headers, content, status in cases:
-                answer = await api.call("PATCH", path, content=content, **headers)
-                assert answer[0] == status, (content[:60], answer)
+                response = await api.call("PATCH", path, content=content, **headers)
+                assert response[0] == status, (content[:60], response)
 
-    async def test_store_down(self, autojump_clock):
-        """The version in force is shown in an outage; a patch says what is known."""
+    async def test_store_unreachable(self, autojump_clock):
+        """In an outage the current version is shown and a patch returns 503."""
         async with running_api() as api:
             await api.patch(first_patch(), 0, key=BOOTSTRAP_KEY)
-            api.bench.standin.faults.outage = "refuse"
+            api.harness.standin.faults.outage = "refuse"
             assert (await api.call("GET", "/configuration"))[1]["number"] == 1
             refused = await api.patch(count_patch("waco-b", 3), 1, name="change")
             assert (refused[0], refused[1]["outcome"]) == (503, "store_unavailable")
--- a/tests/version/test_kept_ids.py
+++ b/tests/version/test_request_id_retention.py
@@ -1,10 +1,10 @@
-"""Patches after which ids of at-most-once requests would be forgotten."""
+"""Rejection of patches that would lose the ids of at-most-once requests."""
 
 import pytest
-from tests.version.platform import first_agent, running_bench
+from tests.version.platform import first_agent, running_harness
 
-from rosemaryknot.version.kept_ids import MAX_REMOVED_SERVICES
 from rosemaryknot.version.patch import Patch
+from rosemaryknot.version.request_id_retention import MAX_REMOVED_SERVICES
 from rosemaryknot.version.submission import Accepted, DryRun, InvalidPatch
 
 PATH = "/services/dispatch-app"
@@ -33,7 +33,7 @@
     return await agent.submit(patch, CONFIRMED, dry_run)
 
 
-class TestLiveService:
+class TestExistingService:
     @pytest.mark.parametrize(
         "changed",
         [
@@ -42,32 +42,32 @@
             [operation("add", value={"kind": "model"})],
         ],
     )
-    async def test_change_that_forgets_ids(self, autojump_clock, changed):
-        """A booking ran under `shards`; an operator sets the service to `objects`.
+    async def test_change_that_loses_ids(self, autojump_clock, changed):
+        """A booking ran under `shards`; an operator changes the form to `objects`.
 
-        The other form knows nothing of the id, so a late repeat of the booking would
-        be granted and run again. A shorter horizon ends the doubt after an owner's
-        death sooner, with the same end.
+        The other form does not have the id, so a late repeat of the booking would be
+        granted and run again. A shorter horizon ends the uncertainty after an owner's
+        failure too early, with the same result.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             result = await submit(agent, *changed)
             assert isinstance(result, InvalidPatch)
             assert result.problems[0].path.startswith(PATH)
             assert isinstance(await submit(agent, *changed, dry_run=True), InvalidPatch)
-            assert bench.stored["number"] == 1
+            assert harness.stored["number"] == 1
 
-    async def test_what_is_said_explicitly_or_lengthened(self, autojump_clock):
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+    async def test_explicit_defaults_and_longer_horizon(self, autojump_clock):
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             same = add(form="shards", answer_horizon_s=600)
             assert isinstance(await submit(agent, *same), Accepted)
             longer = add(form="shards", answer_horizon_s=1200)
             assert isinstance(await submit(agent, *longer), Accepted)
 
     async def test_model_service_that_becomes_plain(self, autojump_clock):
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             path = "/services/kit-assistant"
             result = await submit(agent, operation("add", path, value=service()))
             assert isinstance(result, InvalidPatch)
@@ -78,11 +78,11 @@
     async def test_added_again_under_the_other_form(self, autojump_clock):
         """The form is changed in two steps: the service is removed and added again.
 
-        Each patch by itself looks harmless. Grants of the old form stay open for a
-        day, so the name is held for as long, also past a life as a model service.
+        Each patch alone is harmless. Grants of the old form stay open for a day, so
+        the name stays reserved that long, even if a model service uses it meanwhile.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             now_s = 1000.0
             agent.clock = lambda: now_s
             assert isinstance(await submit(agent, *REMOVE), Accepted)
@@ -96,11 +96,11 @@
             now_s += 120.0
             result = await submit(agent, *add(form="objects"))
             assert isinstance(result, Accepted)
-            assert bench.stored["removed"] == {}
+            assert harness.stored["removed"] == {}
 
-    async def test_horizon_longer_than_a_day_is_waited_out(self, autojump_clock):
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+    async def test_name_reserved_for_horizon_longer_than_a_day(self, autojump_clock):
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             now_s = 1000.0
             agent.clock = lambda: now_s
             assert isinstance(
@@ -114,21 +114,21 @@
             now_s += 120.0
             assert isinstance(await submit(agent, *add()), Accepted)
 
-    async def test_restore_holds_the_names_that_it_takes_away(self, autojump_clock):
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
-            backup = bench.stored
+    async def test_restore_reserves_removed_names(self, autojump_clock):
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
+            backup = harness.stored
             assert isinstance(await submit(agent, *REMOVE), Accepted)
-            bench.standin.kinds["configuration"].objects["main"].value = backup
+            harness.standin.kinds["configuration"].objects["main"].value = backup
             restored = await agent.restore("patch-restore", "ana")
             assert isinstance(restored, Accepted)
             result = await submit(agent, *add(form="objects"))
             assert isinstance(result, InvalidPatch)
 
-    async def test_bound_on_held_names(self, autojump_clock):
-        """Held names must not grow the object past the store's megabyte."""
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+    async def test_limit_on_reserved_names(self, autojump_clock):
+        """Reserved names must not let the object exceed the store's limit of 1 MB."""
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             names = [f"/services/app-{n}" for n in range(MAX_REMOVED_SERVICES + 1)]
             adds = [operation("add", name, value=service()) for name in names]
             assert isinstance(await submit(agent, *adds), Accepted)
@@ -138,4 +138,4 @@
             assert isinstance(await agent.submit(patch, words), InvalidPatch)
             patch = Patch("patch-less", agent.holder.number, removes[1:], "ana")
             assert isinstance(await agent.submit(patch, words), Accepted)
-            assert len(bench.stored["removed"]) == MAX_REMOVED_SERVICES
+            assert len(harness.stored["removed"]) == MAX_REMOVED_SERVICES
