--- a/tests/version/test_store.py
+++ b/tests/version/test_store.py
@@ -1,8 +1,8 @@
-"""Submission of patches: races, stale bases, lost answers, lost versions."""
+"""Submission of patches: races, stale bases, lost responses, lost versions."""
 
 import trio
 from tests.version.documents import count_patch
-from tests.version.platform import first_agent, running_bench
+from tests.version.platform import first_agent, running_harness
 
 from rosemaryknot.version.patch import Patch
 from rosemaryknot.version.submission import (
@@ -26,34 +26,34 @@
 
 class TestSubmit:
     async def test_accepted_with_effect(self, autojump_clock):
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             result = await agent.submit(patch("ana", 1))
             effect = ["kit-assistant in waco-b: 2 → 3 instances"]
             assert result == Accepted(2, "patch-ana", effect)
             assert agent.holder.number == 2
-            assert bench.stored["number"] == 2
+            assert harness.stored["number"] == 2
 
-    async def test_stale_base_tells_who_changed_what(self, autojump_clock):
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+    async def test_stale_base_returns_changes_and_authors(self, autojump_clock):
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             await agent.submit(patch("ana", 1))
             result = await agent.submit(patch("ben", 1, "waco-a"))
             assert isinstance(result, StalePatch)
             assert (result.number, result.changes[0].author) == (2, "ana")
             assert result.effect == ["kit-assistant in waco-b: 2 → 3 instances"]
-            assert bench.stored["number"] == 2
+            assert harness.stored["number"] == 2
 
     async def test_race_of_two_operators(self, autojump_clock):
         """Two operators patch the same base through two agents at the same time.
 
-        Both agents read version 1 before either writes. Only the condition on the
-        object's version decides; the loser must be told, or it would believe in a
-        change that never was.
+        Both agents read version 1 before either writes. The condition on the object's
+        version decides which patch is accepted; the other operator must be notified
+        that the change was not made.
         """
-        async with running_bench() as bench:
-            agents = [await first_agent(bench), bench.agent()]
-            bench.standin.faults.slow_s = 0.2
+        async with running_harness() as harness:
+            agents = [await first_agent(harness), harness.agent()]
+            harness.standin.faults.slow_s = 0.2
             results = []
 
             async def submit(agent, name):
@@ -64,98 +64,98 @@
                 nursery.start_soon(submit, agents[1], "ben")
             kinds = sorted(type(result).__name__ for result in results)
             assert kinds == ["Accepted", "StalePatch"]
-            assert len(bench.stored["history"]) == 2
+            assert len(harness.stored["history"]) == 2
 
-    async def test_answer_lost_after_the_effect(self, autojump_clock):
-        """The write takes effect and its answer is lost.
+    async def test_response_lost_after_write(self, autojump_clock):
+        """The write takes effect and its response is lost.
 
-        The second write is refused, since the object has a new version by then. An
-        agent that took this for a lost race would tell the operator "stale" of a
-        change that is in force.
+        The second write is refused, since the object has a new version by then. If the
+        agent treated this as a lost race, it would report "stale" for a change that is
+        active.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
-            bench.standin.faults.lose_answers = 1
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
+            harness.standin.faults.lose_answers = 1
             assert isinstance(await agent.submit(patch("ana", 1)), Accepted)
-            assert [c["number"] for c in bench.stored["history"]] == [1, 2]
+            assert [c["number"] for c in harness.stored["history"]] == [1, 2]
 
     async def test_write_takes_effect_after_its_timeout(self, autojump_clock):
-        """The write takes effect three seconds late, after the client gave it up.
+        """The write takes effect after three seconds, when the client has timed out.
 
-        A read in between shows the old version, which proves nothing.
+        A read in between returns the old version, which proves nothing.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
-            bench.standin.faults.late_effect_s = 3.0
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
+            harness.standin.faults.late_effect_s = 3.0
             assert isinstance(await agent.submit(patch("ana", 1)), Accepted)
-            assert len(bench.stored["history"]) == 2
+            assert len(harness.stored["history"]) == 2
 
-    async def test_store_silent_for_good(self, autojump_clock):
-        """The platform stops answering between the read and the write.
+    async def test_store_stops_responding(self, autojump_clock):
+        """The platform stops responding between the read and the write.
 
-        The operator gets "unknown" with the id; asked again after the outage, the
-        id tells that the patch was not stored, and after another change that it
-        never will be.
+        The operator gets "unknown" with the patch id. A query by this id after the
+        outage shows that the patch is not stored, and after another change that it
+        can no longer be accepted.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             reads = agent.platform.read
 
             async def read_then_silence(*name):
                 stored = await reads(*name)
-                bench.standin.faults.outage = "silent"
+                harness.standin.faults.outage = "silent"
                 return stored
 
             agent.platform.read = read_then_silence
             result = await agent.submit(patch("ana", 1))
             assert result == PatchUnknown("patch-ana", "timeout")
             agent.platform.read = reads
-            bench.standin.faults.outage = ""
+            harness.standin.faults.outage = ""
             status = await agent.patch_status("patch-ana", 1)
             assert isinstance(status, PatchUnknown)
             await agent.submit(patch("ben", 1))
             assert await agent.patch_status("patch-ana", 1) == NotAccepted(2)
 
-    async def test_store_refuses(self, autojump_clock):
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
-            bench.standin.faults.outage = "refuse"
+    async def test_store_refuses_requests(self, autojump_clock):
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
+            harness.standin.faults.outage = "refuse"
             result = await agent.submit(patch("ana", 1))
             assert result == StoreUnavailable("unavailable")
 
-    async def test_same_patch_twice(self, autojump_clock):
-        """The operator's program repeats a patch whose answer it lost."""
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+    async def test_repeated_and_reused_patch_id(self, autojump_clock):
+        """A client repeats a patch whose response it lost, then reuses the id."""
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             await agent.submit(patch("ana", 1))
             assert isinstance(await agent.submit(patch("ana", 1)), Accepted)
             other = Patch("patch-ana", 2, count_patch("waco-a", 3), "ana")
             assert await agent.submit(other) == ReusedPatchId(2)
-            assert bench.stored["number"] == 2
+            assert harness.stored["number"] == 2
 
     async def test_dry_run_and_invalid(self, autojump_clock):
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             result = await agent.submit(patch("ana", 1), dry_run=True)
             assert isinstance(result, DryRun) and result.number == 2
             bad = Patch("patch-bad", 1, [{"op": "remove", "path": "/no"}], "ana")
             assert isinstance(await agent.submit(bad), InvalidPatch)
             same = await agent.submit(patch("ana", 1, count=2))
             assert same.problems[0].text == "the patch changes nothing"
-            assert bench.stored["number"] == 1
+            assert harness.stored["number"] == 1
 
 
 class TestDangers:
     async def confirm(self, operations, words):
-        """Submit without, then with the words; return what was asked for."""
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        """Submit without and with the words; return the requested words."""
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             danger = Patch("patch-danger", 1, operations, "ana")
-            asked = await agent.submit(danger, frozenset({"yes", "wrong"}))
-            assert isinstance(asked, NeedsConfirm)
-            assert bench.stored["number"] == 1
+            result = await agent.submit(danger, frozenset({"yes", "wrong"}))
+            assert isinstance(result, NeedsConfirm)
+            assert harness.stored["number"] == 1
             assert isinstance(await agent.submit(danger, words), Accepted)
-            return {found.word for found in asked.dangers}
+            return {found.word for found in result.dangers}
 
     async def test_last_placement(self, autojump_clock):
         words = frozenset({"dispatch-app"})
@@ -168,7 +168,7 @@
         operations = [{"op": "replace", "path": path, "value": 0}]
         assert await self.confirm(operations, words) == words
 
-    async def test_capacity_at_once(self, autojump_clock):
+    async def test_large_capacity_reduction(self, autojump_clock):
         words = frozenset({"3-of-4-kit-assistant"})
         operations = count_patch("waco-a", 0) + count_patch("waco-b", 1)
         assert await self.confirm(operations, words) == words
@@ -176,35 +176,36 @@
 
 class TestLostVersions:
     async def test_patch_on_a_restored_backup(self, autojump_clock):
-        """The store goes back to version 1 while version 2 is in force.
+        """The store is rolled back to version 1 while version 2 is active.
 
-        A patch against 1 would make another version 2, and the change that made the
-        first one would be gone without a word. It is refused until an operator
-        stores the version in force again.
+        A patch against version 1 would create a different version 2, and the change of
+        the first one would be lost without an error. Patches are refused until an
+        operator stores the active version again.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             await agent.submit(patch("ana", 1))
-            bench.standin.rollback("configuration", "main", 1)
+            harness.standin.rollback("configuration", "main", 1)
             assert await agent.submit(patch("ben", 1)) == StoreConflict(1, 2)
             restored = await agent.restore("patch-restore", "ana")
             assert restored.number == 3
-            places = bench.stored["document"]["placements"]["kit-assistant"]
+            places = harness.stored["document"]["placements"]["kit-assistant"]
             assert places["waco-b"]["count"] == 3
             result = await agent.submit(patch("ben", 3, "waco-a"))
             assert isinstance(result, Accepted)
 
-    async def test_branch_that_overtook_us(self, autojump_clock):
-        """A restored backup is patched on through an agent that knew no better.
+    async def test_conflicting_branch_with_higher_number(self, autojump_clock):
+        """A restored backup is patched through an agent without the newest version.
 
-        Its number passes ours, but its lineage lacks our version: to take it would
-        revert an accepted change. We stop, say so, and a restore settles it.
+        Its number exceeds the current one, but its lineage lacks the current version:
+        applying it would revert an accepted change. The agent must report a conflict
+        and refuse patches, until a restore resolves it.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
-            other = bench.agent(held_by=agent)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
+            other = harness.agent(source_agent=agent)
             await agent.submit(patch("ana", 1))
-            bench.standin.rollback("configuration", "main", 1)
+            harness.standin.rollback("configuration", "main", 1)
             await other.submit(patch("ben", 1, "waco-a"))
             await other.submit(patch("ben2", 2, "waco-a", 4))
             assert (await agent.read()).number == 3
@@ -218,9 +219,9 @@
 
 class TestHistory:
     async def test_earlier_versions_and_undo(self, autojump_clock):
-        """An earlier change is taken back while a later one elsewhere stays."""
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        """An earlier change is reverted while a later one of another zone stays."""
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             await agent.submit(patch("ana", 1))
             await agent.submit(patch("ben", 2, "waco-a", 4))
             stored = await agent.read()
@@ -229,24 +230,24 @@
             undo = undo_patch(stored, 2)
             assert isinstance(undo, UndoPatch)
             await agent.submit(Patch("patch-undo", 3, undo.operations, "ana"))
-            places = bench.stored["document"]["placements"]["kit-assistant"]
+            places = harness.stored["document"]["placements"]["kit-assistant"]
             assert places == {"waco-a": {"count": 4}, "waco-b": {"count": 2}}
             overlap = Overlap(4, "/placements/kit-assistant/waco-b/count")
             assert undo_patch(await agent.read(), 2) == overlap
 
-    async def test_object_stays_under_a_megabyte(self, autojump_clock):
-        """Large patches follow each other until the history has to be cut.
+    async def test_object_size_limit(self, autojump_clock):
+        """Consecutive large patches require that the history is truncated.
 
-        Without the bound the store refuses the object, and with it every patch.
+        Without the limit the store would refuse the object, and every patch would fail.
         """
-        async with running_bench() as bench:
-            agent = await first_agent(bench)
+        async with running_harness() as harness:
+            agent = await first_agent(harness)
             for number in range(1, 9):
                 names = {f"c{number}-{i}": {} for i in range(4000)}
                 path = "/customers"
                 operations = [{"op": "replace", "path": path, "value": names}]
                 words = frozenset(agent.holder.view.customers)
-                # The customer's key goes with its customer.
+                # A key must be removed together with its customer.
                 if number == 1:
                     key = next(
                         k for k, v in agent.holder.view.keys.items() if v.customer
@@ -255,5 +256,5 @@
                 name = f"patch-large-{number}"
                 result = await agent.submit(Patch(name, number, operations, "a"), words)
                 assert isinstance(result, Accepted)
-            assert len(bench.stored["history"]) == 9
-            assert bench.stored["history"][1]["operations"] is None
+            assert len(harness.stored["history"]) == 9
+            assert harness.stored["history"][1]["operations"] is None
