--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -184,7 +184,7 @@
                 await self.measure_reach(client, "done_in_outage", ZONES)
                 faults.outage = ""
                 await trio.sleep(WARM_UP_S)
-                self.system.cut_zone(ZONES[0])
+                self.system.partition_zone(ZONES[0])
                 await trio.sleep(WARM_UP_S)
                 hint = f"zone:{ZONES[0]}/"
                 await self.measure_reach(client, "done_in_cut_zone", ZONES[:1])
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -22,8 +22,8 @@
 from rosemaryknot.connection.http_client import http_client
 from rosemaryknot.process.limits.shares import LimitKey, owner_of
 from rosemaryknot.process.logs import configure_logs
+from rosemaryknot.replay.caller_records import ModelRecord
 from rosemaryknot.replay.callers import Caller
-from rosemaryknot.replay.notes import ModelNote
 from rosemaryknot.replay.system import System, SystemPlan
 from rosemaryknot.replay.virtual_time import run_in_virtual_time
 from rosemaryknot.values.nodes import Node
@@ -64,13 +64,13 @@
 
     Attributes
     ----------
-    notes : list of ModelNote
+    notes : list of ModelRecord
         Its requests.
     sent_s : list of float
         When each was sent, in virtual seconds.
     """
 
-    notes: list[ModelNote] = field(default_factory=list)
+    notes: list[ModelRecord] = field(default_factory=list)
     sent_s: list[float] = field(default_factory=list)
 
     def used_tokens(self, prompt_tokens: float, from_s: float, to_s: float) -> float:
@@ -171,7 +171,7 @@
         while trio.current_time() < end_s:
             self.sent += 1
             prompt = f"beam span {self.sent} " + "timber " * 8
-            note = ModelNote(prompt, tokens)
+            note = ModelRecord(prompt, tokens)
             offered.notes.append(note)
             offered.sent_s.append(trio.current_time())
             self.nursery.start_soon(caller.ask, note, MODEL, PATIENCE_S)
@@ -272,7 +272,7 @@
         name = owner_name(system, ZONES[0])
         nursery.start_soon(later, lambda: system.kill_node(name))
     elif case == "zone_cut":
-        nursery.start_soon(later, lambda: system.cut_zone(ZONES[-1]))
+        nursery.start_soon(later, lambda: system.partition_zone(ZONES[-1]))
 
 
 async def measure_first_tokens(seed: int, with_flood: bool) -> tuple[list, int]:
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -182,8 +182,8 @@
         """Reclaim single instances at the rate of their zone."""
         for server in self.present():
             chance = self.trace.rates[server.zone] * SAMPLE_S / SECONDS_PER_HOUR
-            is_hit = rng.random() < chance
-            if is_hit and server.reclaimable and server.state == ServerState.LIVE:
+            is_reclaimed = rng.random() < chance
+            if is_reclaimed and server.reclaimable and server.state == ServerState.LIVE:
                 self.cloud.reclaim(server.instance, NOTICE_S)
                 self.result.reclaims += 1
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -18,8 +18,8 @@
 from rosemaryknot.connection.http_client import http_client
 from rosemaryknot.process.logs import configure_logs
 from rosemaryknot.replay.audit import audit_model
+from rosemaryknot.replay.caller_records import ModelRecord
 from rosemaryknot.replay.callers import Caller
-from rosemaryknot.replay.notes import ModelNote
 from rosemaryknot.replay.system import System, SystemPlan
 from rosemaryknot.replay.virtual_time import run_in_virtual_time
 from rosemaryknot.standin.engine import EngineStandIn
@@ -110,7 +110,7 @@
     plan, api_key = new_plan(seed, move_policy)
     rng = random.Random(seed)
     result = WaveResult()
-    notes: list[ModelNote] = []
+    notes: list[ModelRecord] = []
     async with trio.open_nursery() as nursery:
         system = System(plan, nursery)
         await system.start()
@@ -121,7 +121,7 @@
                 work.start_soon(reclaim_waves, system)
                 for number in range(REQUESTS):
                     words = " ".join(["oak"] * rng.randint(50, 1500))
-                    note = ModelNote(
+                    note = ModelRecord(
                         f"set {seed} {number} {words}", rng.randint(200, 3000)
                     )
                     notes.append(note)
@@ -144,7 +144,7 @@
     return result
 
 
-async def later(wait_s: float, ask, note: ModelNote, service: str) -> None:
+async def later(wait_s: float, ask, note: ModelRecord, service: str) -> None:
     """Ask after a wait."""
     await trio.sleep(wait_s)
     await ask(note, service, PATIENCE_S)
--- a/scripts/mixed_builds.py
+++ b/scripts/mixed_builds.py
@@ -29,7 +29,7 @@
 
 from rosemaryknot.connection.http_client import http_client
 from rosemaryknot.connection.network import SocketNetwork
-from rosemaryknot.standin.users.changes import changed_document
+from rosemaryknot.standin.users.configuration_changes import changed_document
 from rosemaryknot.standin.users.servers import server_entry
 from rosemaryknot.standin.users.system import (
     MODEL,
@@ -213,7 +213,7 @@
 @node_check("nodes become ready")
 async def check_ready(system: MixedSystem) -> tuple[bool, str]:
     """Check that all nodes answer."""
-    found = [await system.is_back(name, READY_S) for name in system.nodes]
+    found = [await system.wait_until_responding(name, READY_S) for name in system.nodes]
     await trio.sleep(2)
     return all(found), str(found)
 
@@ -340,9 +340,9 @@
             node.send(signal.SIGTERM)
             code = await node.wait(GRACE_S + 2)
         node.start()
-        is_back = await system.is_back(name, READY_S)
+        is_responding = await system.wait_until_responding(name, READY_S)
         is_whole = result[0].status == OK and result[0].is_whole
-        found.append((code == 0, is_whole, is_back))
+        found.append((code == 0, is_whole, is_responding))
         await trio.sleep(1)
     return all(map(all, found)), "exit, stream, back: " + str(found)
 
@@ -355,8 +355,8 @@
         return any(call.status == OK for call in system.cloud.calls)
 
     is_reported = await until_true(has_usage, 20.0)
-    doubled = system.cloud.doubled
-    return is_reported and not doubled, f"{len(system.cloud.calls)} calls"
+    conflicting_windows = system.cloud.conflicting_windows
+    return is_reported and not conflicting_windows, f"{len(system.cloud.calls)} calls"
 
 
 @node_check("nodes end, and understood each other")
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -1,7 +1,7 @@
-"""A soak: real node processes on loopback, faults from outside, promises checked.
+"""A soak test: real node processes on loopback, external faults, invariants checked.
 
-``make soak SEED=k`` runs one seed, ``make soak SEEDS=n`` fresh ones. It ends only
-processes that it started, by their ids.
+``make soak SEED=k`` runs one seed, ``make soak SEEDS=n`` new ones. The script stops
+only processes that it started itself, by their process ids.
 """
 
 import json
@@ -21,16 +21,16 @@
 from soak_proxy import SoakProxy
 
 from rosemaryknot.connection.network import SocketNetwork
-from rosemaryknot.standin.users.audit import DRAIN_S, Seen, Violation, audit
-from rosemaryknot.standin.users.changes import changed_document
+from rosemaryknot.standin.users.audit import DRAIN_S, Observations, Violation, audit
 from rosemaryknot.standin.users.cloud import CloudStandIn
-from rosemaryknot.standin.users.contact import Disturbances
-from rosemaryknot.standin.users.foreign import FOREIGN, foreign_value
+from rosemaryknot.standin.users.configuration_changes import changed_document
+from rosemaryknot.standin.users.disturbances import Disturbances
+from rosemaryknot.standin.users.foreign_entries import FOREIGN_ENTRIES, foreign_value
 from rosemaryknot.standin.users.play import (
     SLOW_LINK_BYTES_PER_S,
     Play,
-    note_seen,
     play_load,
+    record_observations,
 )
 from rosemaryknot.standin.users.servers import FAULTS as SERVER_FAULTS
 from rosemaryknot.standin.users.servers import Ledger, ServerStandIn, server_entry
@@ -42,11 +42,11 @@
 HOST = "127.0.0.1"
 NODES = 3
 GRACE_S = 4.0
-LENGTH_S = 14.0
+LOAD_DURATION_S = 14.0
 HEARTBEAT_S = 1.0
-STORE_OF = "store of "
+STORE_PROXY_PREFIX = "store of "
 READY_S = 8.0
-# A node answers again so soon after the last fault.
+# Maximum time until a node responds again after the last fault.
 RECOVERY_S = 8.0
 MAX_MEMORY_MB = 200
 MAX_FILES = 400
@@ -61,7 +61,7 @@
 
 
 def soak_fault(kind: str) -> Callable[[SoakFault], SoakFault]:
-    """Register a kind of fault; it returns when it is over."""
+    """Register a kind of fault: a coroutine that returns when the fault is over."""
 
     def register(fault: SoakFault) -> SoakFault:
         SOAK_FAULTS[kind] = fault
@@ -71,7 +71,7 @@
 
 
 def is_free(port: int) -> bool:
-    """Tell whether a port of loopback can be listened on."""
+    """Return whether a loopback port can be bound."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -82,16 +82,16 @@
 
 
 def first_port(seed: int) -> int:
-    """Return the first of the ports of all nodes, which nothing else listens on."""
+    """Return the first port of a range that is free for all nodes."""
     begin = seed % len(PORTS)
     for base in [*PORTS[begin:], *PORTS[:begin]]:
         if all(is_free(base + n) for n in range(NODES * PORTS_OF_NODE)):
             return base
-    raise RuntimeError("no free ports")
+    raise RuntimeError("no range of free ports for the nodes")
 
 
 class SoakNode:
-    """One node as a process."""
+    """A gateway node that runs as a process."""
 
     def __init__(self, folder: Path, name: str, settings: dict[str, Any]) -> None:
         self.name = name
@@ -124,7 +124,7 @@
             self.process.send_signal(number)
 
     async def wait(self, timeout_s: float) -> int | None:
-        """Return the exit code, None where the process goes on."""
+        """Return the exit code, or None if the process is still running."""
         with trio.move_on_after(timeout_s):
             while self.process.poll() is None:
                 await trio.sleep(0.02)
@@ -141,7 +141,7 @@
 
 
 class SoakSystem:
-    """Nodes, stand-ins and proxies."""
+    """Node processes, stand-ins and proxies."""
 
     def __init__(self, nursery: trio.Nursery, seed: int) -> None:
         self.nursery = nursery
@@ -160,7 +160,7 @@
         self.disturbances = Disturbances()
 
     async def start(self) -> None:
-        """Start everything and wait until the nodes are ready."""
+        """Start all components and wait until the nodes are ready."""
         anywhere = Address(HOST, 0)
         self.folder.mkdir(parents=True, exist_ok=True)
         start = self.nursery.start
@@ -175,7 +175,7 @@
             proxy = SoakProxy(store)
             proxy.bytes_per_s = self.link_bytes_per_s
             address = await start(proxy.serve, anywhere)
-            self.proxies[f"{STORE_OF}n{number}"] = proxy
+            self.proxies[f"{STORE_PROXY_PREFIX}n{number}"] = proxy
             settings = self.node_settings(number, address, cloud)
             name = settings["node"]
             self.nodes[name] = SoakNode(self.folder, name, settings)
@@ -183,7 +183,7 @@
             node.log.write_text("")
             node.start()
         for name in self.nodes:
-            if not await self.is_back(name, READY_S):
+            if not await self.wait_until_responding(name, READY_S):
                 self.problems.append(Violation("starts", name))
 
     def node_settings(self, number: int, store: Address, cloud: Address) -> dict:
@@ -222,14 +222,14 @@
         self.store.put("servers", name, server.entry)
 
     async def overwrite(self, name: str, value: Any) -> None:
-        """Put something over a server's entry until its next heartbeat."""
+        """Replace a server's entry by another value until its next heartbeat."""
         self.store.put("servers", name, value)
         await trio.sleep(HEARTBEAT_S)
         if name in self.servers:
             self.store.put("servers", name, self.servers[name].entry)
 
     async def ask(self, path: str, node: str, **options: Any) -> Answer:
-        """Send one request on a connection of its own."""
+        """Send a request on a new connection."""
         address = Address.from_text(self.nodes[node].settings["listen"]["callers"])
         caller = await Caller(self.network, address).open()
         try:
@@ -239,10 +239,10 @@
             with trio.CancelScope(shield=True):
                 await caller.close()
 
-    async def is_back(self, name: str, within_s: float) -> bool:
-        """Tell whether a node answers within a time."""
-        until_s = trio.current_time() + within_s
-        while trio.current_time() < until_s:
+    async def wait_until_responding(self, name: str, within_s: float) -> bool:
+        """Return whether a node responds within a time."""
+        end_s = trio.current_time() + within_s
+        while trio.current_time() < end_s:
             try:
                 answer = await self.ask("/none/x", name, request_id="")
             except (OSError, trio.BrokenResourceError):
@@ -252,8 +252,8 @@
             await trio.sleep(0.1)
         return False
 
-    def check_bounds(self) -> None:
-        """Note nodes that have grown."""
+    def check_resource_limits(self) -> None:
+        """Record nodes that exceed the limits of memory or open files."""
         for node in self.nodes.values():
             memory_mb, files = node.usage()
             if memory_mb > MAX_MEMORY_MB or files > MAX_FILES:
@@ -261,7 +261,7 @@
                 self.problems.append(Violation("bounded", detail))
 
     async def end(self) -> None:
-        """Stop the nodes; each must end by itself in time."""
+        """Stop the nodes gracefully; kill and record those that do not exit in time."""
         for node in self.nodes.values():
             node.send(signal.SIGCONT)
             node.send(signal.SIGTERM)
@@ -273,20 +273,20 @@
                 node.process.wait()
 
 
-def behind(proxy: str) -> str:
-    """Return the name of the node or server that a proxy stands before."""
-    return proxy.removeprefix(STORE_OF)
+def proxied_name(proxy: str) -> str:
+    """Return the name of the node or server whose connections a proxy forwards."""
+    return proxy.removeprefix(STORE_PROXY_PREFIX)
 
 
 def idle_node(system: SoakSystem, rng: random.Random) -> SoakNode | None:
-    """Return a node that no other fault has in hand."""
+    """Return a random node without an active fault, or None if only one is left."""
     idle = [node for node in system.nodes.values() if not node.is_busy]
     return rng.choice(idle) if len(idle) > 1 else None
 
 
 @soak_fault("kill")
 async def kill(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Kill a process and start it again."""
+    """Kill a node process and restart it."""
     node = idle_node(system, rng)
     if node is None:
         return
@@ -296,13 +296,13 @@
         await node.wait(2)
         await trio.sleep(for_s / 3)
         node.start()
-        await system.is_back(node.name, READY_S)
+        await system.wait_until_responding(node.name, READY_S)
         node.is_busy = False
 
 
 @soak_fault("stop")
 async def stop(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Stop a process as planned and start it again."""
+    """Shut a node process down gracefully and restart it."""
     node = idle_node(system, rng)
     if node is None:
         return
@@ -314,13 +314,13 @@
             node.send(signal.SIGKILL)
             await node.wait(2)
         node.start()
-        await system.is_back(node.name, READY_S)
+        await system.wait_until_responding(node.name, READY_S)
         node.is_busy = False
 
 
 @soak_fault("pause")
 async def pause(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Pause a process and let it go on."""
+    """Suspend a node process and resume it."""
     node = idle_node(system, rng)
     if node is None:
         return
@@ -334,7 +334,7 @@
 
 @soak_fault("hangup")
 async def hangup(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Change a settings file, with or without a signal."""
+    """Change the settings file of a node, with or without SIGHUP."""
     node = rng.choice(list(system.nodes.values()))
     node.settings["bounds"]["retry_slack"] = float(rng.randint(50, 200))
     node.write()
@@ -344,7 +344,7 @@
 
 @soak_fault("configure")
 async def configure(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Write new versions of the configuration, at times of a large one."""
+    """Write new versions of the configuration, sometimes large ones."""
     filler = rng.choice((0, 0, 800))
     for _ in range(rng.randint(1, 4)):
         system.store.put("config", "main", changed_document(system.store, filler))
@@ -353,16 +353,16 @@
 
 @soak_fault("leave")
 async def leave(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let a server say that it leaves, and come back under another id."""
+    """Set a server to draining, remove it, and start one under another id."""
     name = rng.choice(list(system.servers))
     server = system.servers[name]
     service = server.entry["service"]
-    staying = [
+    ready_servers = [
         other
         for other in system.servers.values()
         if other.entry["service"] == service and other.entry["state"] == "ready"
     ]
-    if len(staying) < 2 or server not in staying:
+    if len(ready_servers) < 2 or server not in ready_servers:
         return
     server.entry = server.entry | {"state": "draining"}
     system.store.put("servers", name, server.entry)
@@ -374,7 +374,7 @@
 
 @soak_fault("store")
 async def store_fault(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let the store refuse, reset or say nothing."""
+    """Let the store refuse, reset or not answer calls."""
     with system.disturbances.disturb():
         system.store.faults.begin(rng.choice(("busy", "many", "reset", "silent")))
         await trio.sleep(for_s)
@@ -383,20 +383,20 @@
 
 @soak_fault("lost_writes")
 async def lost_writes(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let writes be done late and not be answered."""
+    """Apply some writes late and do not answer them."""
     system.store.faults.delay_writes_s = rng.uniform(0, 2)
     system.store.faults.lose_writes += rng.randint(1, 3)
 
 
 @soak_fault("compact")
 async def compact(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let the store forget its history."""
+    """Drop the store's history."""
     system.store.forget_history()
 
 
 @soak_fault("lapse")
 async def lapse(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let all servers' entries go and come back."""
+    """Remove all servers' entries and write them again."""
     for name in list(system.store.objects["servers"]):
         system.store.remove("servers", name)
     await trio.sleep(min(for_s, 1.5))
@@ -406,14 +406,14 @@
 
 @soak_fault("server")
 async def server_fault(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let a server misbehave."""
+    """Apply a server fault to the next requests of a server."""
     server = rng.choice(list(system.servers.values()))
     server.faults.extend([rng.choice(sorted(SERVER_FAULTS))] * rng.randint(1, 8))
 
 
 @soak_fault("mute")
 async def mute(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let a server say nothing."""
+    """Keep a server from responding."""
     server = rng.choice(list(system.servers.values()))
     server.is_mute = True
     await trio.sleep(for_s)
@@ -422,11 +422,11 @@
 
 @soak_fault("restart")
 async def restart(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let a server start again under its id, once or twice in a heartbeat."""
+    """Restart a server under the same id, once or twice within a heartbeat."""
     name = rng.choice(list(system.servers))
     for _ in range(rng.choice((1, 2))):
         before = system.servers[name].entry
-        system.servers[name].begin_life(int(time.time() * 1000))
+        system.servers[name].start_incarnation(int(time.time() * 1000))
         system.proxies[name].reset_all()
         system.store.put("servers", name, system.servers[name].entry)
     if rng.random() < 0.5:
@@ -435,23 +435,23 @@
 
 @soak_fault("foreign")
 async def foreign(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Let another writer write an entry, over a server's own or beside them."""
-    way = rng.choice(sorted(FOREIGN))
+    """Write a foreign entry, over the entry of a server or beside them."""
+    way = rng.choice(sorted(FOREIGN_ENTRIES))
     value = foreign_value(way, system.trap.entry, rng)
     if rng.random() < 0.5:
         await system.overwrite(rng.choice(list(system.servers)), value)
         return
     system.store.put("servers", f"x-{way}", value)
-    system.store.put_stray("servers", way)
+    system.store.put_invalid_item("servers", way)
     await trio.sleep(for_s)
     system.store.remove("servers", f"x-{way}")
 
 
 @soak_fault("delay")
 async def delay(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Delay what goes through a proxy."""
+    """Delay the traffic through a proxy."""
     name, proxy = rng.choice(list(system.proxies.items()))
-    with system.disturbances.disturb(behind(name)):
+    with system.disturbances.disturb(proxied_name(name)):
         proxy.delay_s = rng.uniform(0.02, 0.3)
         await trio.sleep(for_s)
         proxy.delay_s = 0.0
@@ -459,9 +459,9 @@
 
 @soak_fault("silence")
 async def silence(system: SoakSystem, rng: random.Random, for_s: float) -> None:
-    """Cut one or both directions of a proxy without a sign."""
+    """Silently drop one or both directions of the traffic through a proxy."""
     name, proxy = rng.choice(list(system.proxies.items()))
-    with system.disturbances.disturb(behind(name)):
+    with system.disturbances.disturb(proxied_name(name)):
         proxy.silent = set(rng.choice((("to",), ("from",), ("to", "from"))))
         await trio.sleep(for_s)
         proxy.silent = set()
@@ -471,69 +471,75 @@
 async def reset(system: SoakSystem, rng: random.Random, for_s: float) -> None:
     """Reset all connections through a proxy."""
     name, proxy = rng.choice(list(system.proxies.items()))
-    with system.disturbances.disturb(behind(name)):
+    with system.disturbances.disturb(proxied_name(name)):
         proxy.reset_all()
 
 
 async def run_seed(seed: int) -> tuple[list[Violation], Counter]:
-    """Run one seed; return what was wrong, and the faults by kind."""
+    """Run one seed; return the violations, and the number of faults by kind."""
     rng = random.Random(seed)
-    seen = Seen()
-    happened: Counter = Counter()
+    observations = Observations()
+    fault_counts: Counter = Counter()
     async with trio.open_nursery() as nursery:
         system = SoakSystem(nursery, seed)
         await system.start()
 
-        async def cause_trouble() -> None:
-            until_s = trio.current_time() + LENGTH_S - 4
+        async def inject_faults() -> None:
+            end_s = trio.current_time() + LOAD_DURATION_S - 4
             async with trio.open_nursery() as faults:
-                while trio.current_time() < until_s:
+                while trio.current_time() < end_s:
                     kind = rng.choice(sorted(SOAK_FAULTS))
-                    happened[kind] += 1
+                    fault_counts[kind] += 1
                     for_s = rng.uniform(0.3, 4.0)
                     faults.start_soon(SOAK_FAULTS[kind], system, rng, for_s)
                     await trio.sleep(rng.uniform(0.2, 2.5))
 
-        async with trio.open_nursery() as under_way:
-            under_way.start_soon(cause_trouble)
-            play = Play(length_s=LENGTH_S, load=LOAD)
-            await play_load(system, play, rng, seen)
+        async with trio.open_nursery() as load_nursery:
+            load_nursery.start_soon(inject_faults)
+            play = Play(length_s=LOAD_DURATION_S, load=LOAD)
+            await play_load(system, play, rng, observations)
         for name in system.nodes:
-            if not await system.is_back(name, RECOVERY_S):
+            if not await system.wait_until_responding(name, RECOVERY_S):
                 system.problems.append(Violation("recovers", name))
-        system.check_bounds()
+        system.check_resource_limits()
         await system.end()
-        note_seen(system, seen)
-        seen.runs.pop("", None)
+        record_observations(system, observations)
+        observations.runs.pop("", None)
         nursery.cancel_scope.cancel()
-    return audit(seen) + system.problems, happened
+    return audit(observations) + system.problems, fault_counts
 
 
 @app.command()
 def main(
-    seed: Annotated[int | None, typer.Option(help="One seed to run again.")] = None,
-    seeds: Annotated[int, typer.Option(help="How many fresh seeds.")] = 1,
-    minutes: Annotated[float, typer.Option(help="No new seed after this.")] = 60.0,
+    seed: Annotated[
+        int | None, typer.Option(help="Seed to run; new seeds if omitted.")
+    ] = None,
+    seeds: Annotated[int, typer.Option(help="Number of new seeds.")] = 1,
+    minutes: Annotated[
+        float, typer.Option(help="Start no seed after this time.")
+    ] = 60.0,
 ) -> None:
-    """Run the soak and print a line for each seed, then one of JSON."""
+    """Run the soak test; print a line for each seed, then one line of JSON."""
     first = int(time.time()) % 1_000_000 if seed is None else seed
     faults: Counter = Counter()
     by_kind: Counter = Counter()
     first_bad = None
     done = 0
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     for number in range(first, first + (seeds if seed is None else 1)):
-        if time.monotonic() - began_s > minutes * 60:
+        if time.monotonic() - started_s > minutes * 60:
             break
-        violations, happened = trio.run(run_seed, number)
+        violations, fault_counts = trio.run(run_seed, number)
         done += 1
-        faults += happened
-        by_kind.update(violation.promise for violation in violations)
+        faults += fault_counts
+        by_kind.update(violation.invariant for violation in violations)
         if violations and first_bad is None:
             first_bad = number
-        print(f"seed {number}: {len(violations)} wrong, faults {dict(happened)}")
+        print(
+            f"seed {number}: {len(violations)} violations, faults {dict(fault_counts)}"
+        )
         for violation in violations[:5]:
-            print(f"  {violation.promise}: {violation.detail}")
+            print(f"  {violation.invariant}: {violation.detail}")
         sys.stdout.flush()
     print(
         json.dumps(
--- a/scripts/soak_proxy.py
+++ b/scripts/soak_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, silences, cuts and resets what goes through it."""
+"""A loopback TCP proxy that can delay, drop and reset the forwarded traffic."""
 
 import trio
 
@@ -11,17 +11,17 @@
 
 
 class SoakProxy:
-    """Forwards one address to another.
+    """Proxy that forwards connections to a target address.
 
     Attributes
     ----------
     delay_s : float
-        How long each piece is held.
+        Delay of each received block of data.
     bytes_per_s : float
         Bandwidth of each direction of a connection; 0 for no limit.
     silent : set of str
-        Directions that drop what comes: ``to`` the target, ``from`` it. What was open
-        meanwhile stays silent for good.
+        Directions whose data is dropped: ``to`` the target, ``from`` it. A connection
+        that has lost data stays silent in that direction until it is closed.
     """
 
     def __init__(self, target: Address) -> None:
@@ -30,7 +30,7 @@
         self.bytes_per_s = 0.0
         self.silent: set[str] = set()
         self.streams: set[trio.SocketStream] = set()
-        self.deaf: set[trio.SocketStream] = set()
+        self.muted_streams: set[trio.SocketStream] = set()
 
     async def serve(
         self,
@@ -57,7 +57,7 @@
                 nursery.start_soon(self.pump, far, near, "from", nursery.cancel_scope)
         finally:
             self.streams -= {near, far}
-            self.deaf -= {near, far}
+            self.muted_streams -= {near, far}
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(near)
                 await trio.aclose_forcefully(far)
@@ -73,8 +73,8 @@
         try:
             while data := await source.receive_some(READ_BYTES):
                 if direction in self.silent:
-                    self.deaf.add(sink)
-                if sink in self.deaf:
+                    self.muted_streams.add(sink)
+                if sink in self.muted_streams:
                     continue
                 if self.delay_s:
                     await trio.sleep(self.delay_s)
@@ -82,8 +82,8 @@
                     await trio.sleep(len(data) / self.bytes_per_s)
                 await sink.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # Passed on as a reset: a plain end would make a broken answer without a
-            # length look whole.
+            # Forwarded as a reset: an orderly end would make a truncated response
+            # without a length look complete.
             self.reset(sink)
         scope.cancel()
 
--- a/src/rosemaryknot/connection/direct_write.py
+++ b/src/rosemaryknot/connection/direct_write.py
@@ -19,8 +19,8 @@
 class DirectWriter:
     """Writer of body chunks of one response while its application task waits.
 
-    It may be used only between two chunks that the application sends itself, and not
-    after the application was cancelled.
+    It may be used only after the application has sent a chunk of the body and before it
+    sends the next one, and not after the application was cancelled.
 
     Parameters
     ----------
@@ -35,7 +35,7 @@
 
     @property
     def is_behind(self) -> bool:
-        """Whether earlier writes have not been accepted by the socket yet."""
+        """Whether bytes of earlier writes are still buffered or being written."""
         connection = self.connection
         return bool(connection.unsent) or connection.send_lock.locked()
 
@@ -50,14 +50,16 @@
         Returns
         -------
         is_accepted : bool
-            False if nothing was accepted. Accepted bytes that could not be written are
-            buffered, and no further chunk is accepted before `flush`, so a caller that
-            never reads uses the memory of one chunk.
+            False if the chunk was rejected, neither written nor buffered. The part of
+            an accepted chunk that the socket does not take is buffered, and further
+            chunks are rejected before `flush`. A caller that never reads therefore uses
+            the memory of one chunk.
         """
         connection = self.connection
         if connection.unsent or connection.send_lock.locked():
             return False
         try:
+            # hypercorn's `ProtocolWrapper`, its `H11Protocol`, and its h11 connection.
             framed = connection.protocol.protocol.connection.send(h11.Data(data))
         except h11.LocalProtocolError:
             return False
@@ -76,7 +78,7 @@
     Parameters
     ----------
     app : callable
-        Application, as wrapped by hypercorn.
+        ASGI application in hypercorn's wrapper.
     connection : http_server.Connection
         The caller's connection.
     """
--- a/src/rosemaryknot/process/admin_shards.py
+++ b/src/rosemaryknot/process/admin_shards.py
@@ -25,8 +25,8 @@
 def shards(context: typer.Context, as_json: JsonOption = False) -> None:
     """Show the owners of the shards, as known to one agent.
 
-    Exit code 1 while an owner is not live: its shards are unavailable until it responds
-    or is confirmed to have stopped.
+    The exit code is 1 if an owner is not live: its shards are unavailable until it
+    responds or is confirmed to have stopped.
     """
     body = checked_body(call_agent(context.obj, "GET", SHARDS))
     if as_json:
@@ -69,18 +69,18 @@
 ) -> None:
     """Confirm that a node has stopped, so that its shards are taken over.
 
-    Only for a node that does not respond and that the platform no longer knows. If its
-    process still runs, requests can run twice. Without --confirm nothing is changed,
-    and a warning describes the risk.
+    Use this only for a node that does not respond and that the platform no longer
+    knows. If its process still runs, requests can run twice. Without --confirm nothing
+    is changed, and a warning describes the risk.
     """
     content = json.dumps({"node": node, "confirm": confirm}).encode()
     path = f"{SHARDS}/confirm-ended"
-    answer = call_agent(context.obj, "POST", path, content=content)
-    if answer.body.get("outcome") == "needs_confirm" and not as_json:
-        typer.echo(f"WARNING: {answer.body['detail']}", err=True)
+    response = call_agent(context.obj, "POST", path, content=content)
+    if response.body.get("outcome") == "needs_confirm" and not as_json:
+        typer.echo(f"WARNING: {response.body['detail']}", err=True)
         typer.echo(f"nothing was changed; repeat with --confirm {node}", err=True)
-        raise typer.Exit(exit_code_of(answer.status))
-    body = checked_body(answer)
+        raise typer.Exit(exit_code_of(response.status))
+    body = checked_body(response)
     if as_json:
         print_json(body)
     else:
--- a/src/rosemaryknot/process/attempt_budget.py
+++ b/src/rosemaryknot/process/attempt_budget.py
@@ -5,13 +5,13 @@
 
 __all__ = ["AttemptBudget"]
 
-# Share of the limit that is used. The rest covers attempts that count twice because the
-# windows of two gateways do not start at the same time.
+# Share of the allowed retries that a gateway uses. The rest is a margin for attempts
+# that count twice because the windows of two gateways do not start at the same time.
 USED_SHARE = 0.8
-# Minimum number of gateways that is assumed, also before the others are known.
+# Lower bound of the assumed number of gateways, also before the others are known.
 MIN_NODES = 4
-# How long a gateway that seems dead still counts; longer than a network partition may
-# last plus the windows that include its end.
+# How long a gateway that appears to have failed is still counted. This is longer
+# than a network partition may last plus the windows that include its end.
 MAX_NODES_HOLD_S = 60.0
 
 
@@ -30,7 +30,7 @@
     slack : float
         Additional retries that all gateways together may make in a window.
     nodes : callable
-        Returns the number of gateways.
+        Returns the number of reachable gateways, including this one.
 
     Examples
     --------
@@ -76,8 +76,8 @@
     def assumed_nodes(self, now_s: float) -> int:
         """Return the recent maximum of the number of gateways.
 
-        A gateway that seems dead may be partitioned and continue to use its share. If
-        that share were distributed among the others, it would be used twice.
+        A gateway that appears to have failed may only be partitioned and still use its
+        share. If that share were distributed among the others, it would be used twice.
         """
         nodes = max(self.nodes(), MIN_NODES)
         if nodes >= self.max_nodes or now_s - self.max_nodes_s > MAX_NODES_HOLD_S:
@@ -85,6 +85,6 @@
         return self.max_nodes
 
     def drop_expired(self, times: deque[float], now_s: float) -> None:
-        """Drop times before the window."""
+        """Remove the times that precede the window."""
         while times and times[0] < now_s - self.window_s:
             times.popleft()
--- a/src/rosemaryknot/process/claims/objects.py
+++ b/src/rosemaryknot/process/claims/objects.py
@@ -1,4 +1,4 @@
-"""At-most-once execution with one stored object per id, the form ``objects``.
+"""At-most-once execution with one stored object per id: the claim form ``objects``.
 
 A claim is a conditional write to the platform's object API before the request is sent.
 It costs two writes per request, and nothing can be claimed while the store is
@@ -60,6 +60,7 @@
 RETRY_DELAY_S = 0.1
 SWEEP_INTERVAL_S = 5.0
 
+# Returns the reply, and whether the record was changed and must be written.
 Decision = Callable[[ClaimRecord, float], tuple[Message, bool]]
 
 log = logger("claims")
@@ -68,7 +69,7 @@
 def object_name(claim_id: ClaimId) -> str:
     """Return the name of an id's object.
 
-    It is a hash of 128 bits, since two ids must never share an object.
+    It is a 128-bit hash, since two ids must never share an object.
     """
     text = "\0".join((claim_id.customer, claim_id.service, claim_id.key))
     return xxhash.xxh3_128_hexdigest(text.encode())
@@ -102,14 +103,14 @@
 class DeletionSchedule:
     """Objects that this agent was the last to write, with the time to delete each.
 
-    Open grants are in a separate dict. Nearly all of them are written again within
-    seconds, and their outdated entries would stay in the heap for the day that an open
-    grant is kept.
+    Open grants are held in a separate dict instead of the heap. Nearly all of them are
+    written again within seconds, and their outdated entries would stay in the heap for
+    one day, the time after which an open grant expires.
 
     Attributes
     ----------
     not_planned : int
-        Number of objects that stay in the store because the schedule was full.
+        Number of objects that are not deleted because the schedule was full.
     """
 
     def __init__(self) -> None:
@@ -131,17 +132,17 @@
 
     def pop_due(self, now_s: float) -> list[tuple[ClaimId, int]]:
         """Remove and return the objects that are due for deletion."""
-        found = [
+        due = [
             (claim_id, version)
             for claim_id, (expires_s, version) in self.open_grants.items()
             if expires_s < now_s
         ]
-        for claim_id, _ in found:
+        for claim_id, _ in due:
             del self.open_grants[claim_id]
         while self.heap and self.heap[0][0] < now_s:
             _, version, claim_id = heapq.heappop(self.heap)
-            found.append((claim_id, version))
-        return found
+            due.append((claim_id, version))
+        return due
 
 
 @claim_form("objects")
@@ -178,7 +179,7 @@
         -------
         status : dict
             Number of calls made to the store, of open grants, of objects scheduled for
-            deletion, and of objects that stay because the schedule was full.
+            deletion, and of objects that are not deleted because the schedule was full.
         """
         return {
             "store_calls": self.store_calls,
@@ -233,9 +234,10 @@
     async def change(self, claim_id: ClaimId, decide: Decision) -> Message | None:
         """Apply a decision to the id's record and write the record if it changed.
 
-        Each attempt decides again on the stored record. So the next attempt reads a
-        write whose response was lost, and a write that takes effect late conflicts with
-        the version written by a later attempt.
+        Each further attempt reads the stored record and decides again. If the response
+        to a write was lost, the next attempt therefore reads the written record, and a
+        write that takes effect late conflicts with the version written by a later
+        attempt.
 
         Returns
         -------
@@ -248,8 +250,9 @@
             for _ in range(MAX_ATTEMPTS):
                 if current is not None:
                     reply, changed = decide(current.record, self.unix_time())
-                    # A cached or assumed record is confirmed only by the conditional
-                    # write. A refusal without one could be based on an outdated record.
+                    # A cached record, or the empty one assumed without a cached record,
+                    # is confirmed only by the conditional write. A refusal without a
+                    # write could be based on an outdated record.
                     if not changed and not is_unconfirmed:
                         return reply
                     if changed and await self.save(claim_id, current):
@@ -295,7 +298,8 @@
         """Cache an open grant for its next write, and schedule the deletion."""
         is_open = current.record.state == RunState.GRANTED
         if is_open:
-            # Only the result of an open grant is written from a cached record.
+            # Only open grants are cached: the write of their result is the only one
+            # that uses a cached record.
             self.cache[claim_id] = current
         if len(self.cache) > MAX_CACHED_RECORDS:
             self.cache.popitem(last=False)
--- a/src/rosemaryknot/process/claims/operators_api.py
+++ b/src/rosemaryknot/process/claims/operators_api.py
@@ -35,7 +35,7 @@
         before it is confirmed to have stopped; ``confirmed`` if an operator confirmed
         that.
     mute_s : float
-        Time for which this node has not considered the owner live.
+        Seconds since this node found that the owner is not live; 0 while it is live.
     shards : list of int
         Indexes of the owner's shards.
     """
@@ -48,7 +48,7 @@
 
 
 def owners_of(claims: ShardClaims) -> list[OwnerStatus]:
-    """Return the owners of the shards in the map that this node knows.
+    """Return the owners of the shards in this node's copy of the shard map.
 
     Parameters
     ----------
@@ -58,21 +58,21 @@
     Returns
     -------
     owners : list of OwnerStatus
-        Owners by name, after those that are not live.
+        Owners sorted by name, those that are not live first.
     """
-    found: dict[tuple[str, int], OwnerStatus] = {}
+    statuses: dict[tuple[str, int], OwnerStatus] = {}
     for index, shard in enumerate(known_shards(claims)):
-        process = (shard.owner, shard.incarnation)
-        if process not in found:
-            found[process] = owner_status(claims, shard)
-        found[process].shards.append(index)
+        owner_key = (shard.owner, shard.incarnation)
+        if owner_key not in statuses:
+            statuses[owner_key] = owner_status(claims, shard)
+        statuses[owner_key].shards.append(index)
     return sorted(
-        found.values(), key=lambda owner: (owner.state == "live", owner.owner)
+        statuses.values(), key=lambda owner: (owner.state == "live", owner.owner)
     )
 
 
 def known_shards(claims: ShardClaims) -> list[Shard]:
-    """Return the shards of the known map; empty if there is none."""
+    """Return the shards of the shard map; empty if this node has no map yet."""
     return [] if claims.maps.map is None else claims.maps.map.shards
 
 
@@ -115,8 +115,8 @@
     async def confirm_ended(self) -> Response:
         """Handle an operator's confirmation that a node has stopped.
 
-        The node's shards are taken over then. A request whose ``confirm`` differs from
-        ``node`` changes nothing and returns a warning.
+        After the confirmation, other nodes take over the node's shards. A request whose
+        ``confirm`` differs from ``node`` changes nothing and returns a warning.
         """
         body = await request.get_json(force=True, silent=True)
         body = body if isinstance(body, dict) else {}
@@ -140,7 +140,7 @@
         return json_response(202, outcome="confirmed", node=node, shards=len(shards))
 
     def refusal(self, node: str, shards: list[Shard]) -> Response | None:
-        """Return the refusal that follows from local state, or None."""
+        """Return a refusal if local state rules out a confirmation, otherwise None."""
         if not shards:
             detail = f"{node} owns no shards"
             return json_response(404, outcome="unknown_owner", detail=detail)
@@ -150,7 +150,7 @@
         return None
 
     async def platform_refusal(self, node: str) -> Response | None:
-        """Return the refusal that follows from the platform's state, or None.
+        """Return a refusal if the platform can terminate the node, otherwise None.
 
         An instance that the platform knows can be terminated, and then no confirmation
         by an operator is needed.
--- a/src/rosemaryknot/process/configuration_distributor.py
+++ b/src/rosemaryknot/process/configuration_distributor.py
@@ -1,9 +1,10 @@
 """Distributes the configuration among the agents, and from an agent to its entries.
 
-A node that applies a new version offers its number to a few peers. Peers with an older
-version fetch it and offer it in turn. Each second every node also compares numbers
-with a random peer of its zone and one of another zone, which makes up for lost
-messages.
+An entry is the process that runs the data plane of a node. Versions of the
+configuration are numbered. A node that applies a new version offers the version number
+to a few peers. Peers with an older version fetch the new one and offer it in turn. Each
+second every node also compares version numbers with a random peer of its zone and one
+of another zone, which makes up for lost messages.
 """
 
 import random
@@ -63,8 +64,8 @@
 def select_nodes(nodes: Sequence[Node], purpose: str, count: int) -> list[Node]:
     """Select nodes for a purpose by rendezvous hashing.
 
-    Every node makes the same selection from the same list. A node that joins or leaves
-    changes the selection only for its own place.
+    Every node makes the same selection from the same list. If a node joins or leaves,
+    at most one of the selected nodes changes.
 
     Parameters
     ----------
@@ -99,16 +100,16 @@
     peers : PeerSet
         The other agents.
     expected : int
-        Number of peers that the settings name; the first query waits briefly for
-        them.
+        Number of peers that the settings list. The first query waits up to
+        ``FIRST_LINKS_TIMEOUT_S`` until this many are reachable.
     rng : random.Random, optional
         Source of the random choices.
 
     Attributes
     ----------
     peers_queried : trio.Event
-        Set once the peers were queried after the start. The store is not read before,
-        because one restored from a backup would activate an older version.
+        Set once the peers were queried after the start. The store is not read until
+        then, because a store restored from a backup would activate an older version.
     offers : dict of str to ConfigurationOffer
         Newer versions that peers hold, by peer.
     rejected_versions : set of tuple of (int, str)
@@ -151,10 +152,12 @@
         while self.offers:
             await self.fetch_newest()
         number, count = self.holder.number, len(self.peers.nodes())
-        log.info(f"queried {count} peers, {number} is the newest", number=number)
+        log.info(
+            f"queried {count} peers, newest configuration is {number}", number=number
+        )
 
     async def compare_numbers(self) -> None:
-        """Compare numbers with random peers each second."""
+        """Compare version numbers with random peers each second."""
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(COMPARE_INTERVAL_S * self.rng.uniform(0.8, 1.2))
@@ -163,16 +166,19 @@
 
     def random_peers(self) -> list[str]:
         """Return a random peer of this zone and one of another, if there are any."""
-        near, far = [], []
+        same_zone, other_zones = [], []
         for node in self.neighbours():
-            (near if node.zone == self.node.zone else far).append(node.name)
-        return [self.rng.choice(names) for names in (near, far) if names]
+            (same_zone if node.zone == self.node.zone else other_zones).append(
+                node.name
+            )
+        return [self.rng.choice(names) for names in (same_zone, other_zones) if names]
 
     def neighbours(self) -> list[Node]:
         """Return the peers to compare with: those with a direct link, if there are any.
 
-        The links connect all nodes. A comparison that other nodes forward costs each of
-        them the same again, and the relays forward those of their whole zone.
+        The direct links suffice, because together they connect all nodes. A comparison
+        with another peer is forwarded by other nodes and costs each of them as much
+        again; the relays would forward those of their whole zone.
         """
         return self.peers.linked() or self.peers.nodes()
 
@@ -184,8 +190,8 @@
                 view = await self.holder.wait_changed(number)
                 number = view.number
                 names = [node.name for node in self.neighbours()]
-                some = self.rng.sample(names, min(FANOUT, len(names)))
-                nursery.start_soon(self.offer_to, some)
+                selected = self.rng.sample(names, min(FANOUT, len(names)))
+                nursery.start_soon(self.offer_to, selected)
 
     async def offer_to(self, names: Sequence[str]) -> None:
         """Exchange version numbers with several peers concurrently."""
@@ -244,8 +250,8 @@
     holder : ConfigurationHolder
         The active version of this process.
     distributor : ConfigurationDistributor, optional
-        Of an agent; fetches newer versions that peers offer. An entry has none: its
-        agent pushes to it.
+        Distributor of an agent, which fetches newer versions that peers offer. An entry
+        has none, since its agent pushes to it.
     """
 
     @handlers.on(ConfigurationPush)
@@ -267,9 +273,8 @@
 async def keep_entry_current(holder: ConfigurationHolder, link: MessageLink) -> None:
     """Keep the entry at the other end of a link in sync with its agent.
 
-    An agent that restarted during a network partition has no version, while its entry
-    still serves with one. The agent therefore adopts the entry's version if it is
-    newer.
+    An agent that restarted during a network partition has no configuration, while its
+    entry still uses one. The agent therefore adopts the entry's version if it is newer.
 
     Parameters
     ----------
@@ -293,7 +298,7 @@
 async def exchange_with_entry(
     holder: ConfigurationHolder, link: MessageLink, theirs: ConfigurationOffer
 ) -> None:
-    """Push to an entry that is behind, or fetch from one that is ahead."""
+    """Push to an entry with an older version, or fetch from one with a newer one."""
     result = holder.compare_digest(theirs.number, theirs.digest, link.hello.name)
     if result is ApplyResult.OLDER:
         await link.call(holder.push, FETCH_TIMEOUT_S)
--- a/src/rosemaryknot/process/gateway_documents.py
+++ b/src/rosemaryknot/process/gateway_documents.py
@@ -1,4 +1,4 @@
-"""Encoding of configurations sent between gateways: whole or as a difference."""
+"""Encoding of configurations sent between gateways, complete or as a difference."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -56,7 +56,7 @@
 
 
 def digest_of(packed: bytes) -> int:
-    """Return the digest of a document's bytes, shifted to fit a message's integers."""
+    """Return the digest of a document, in 63 bits to fit a message's integers."""
     return xxhash.xxh64_intdigest(packed) >> 1
 
 
@@ -69,7 +69,7 @@
 
 
 def difference(document: Document, base: Document | None) -> bytes:
-    """Return a document as a compressed difference from another one.
+    """Return a document compressed as a difference from another one.
 
     Parameters
     ----------
@@ -88,12 +88,12 @@
 
 
 def rebuild(packed: bytes, base: Document | None) -> bytes:
-    """Return the packed bytes of the document that a difference was computed from.
+    """Return the packed bytes of the document that a difference encodes.
 
     Raises
     ------
     DocumentError
-        If the bytes are not a difference from the base, or the document is too large.
+        If the bytes are not a difference from this base, or the document is too large.
     """
     try:
         return decompress_frame(packed, MAX_DOCUMENT_BYTES, dictionary_of(base))
--- a/src/rosemaryknot/process/gateway_servers.py
+++ b/src/rosemaryknot/process/gateway_servers.py
@@ -23,18 +23,20 @@
 SMOOTHING_FACTOR = 0.15
 # Prefill rate in tokens per second that is assumed before any measurement.
 INITIAL_PREFILL_RATE = 100_000.0
-# The rate estimate tracks this quantile of the samples and moves by this share per
-# sample. Shorter prompts measure the network path rather than the engine.
+# The estimate of the prefill rate tracks the quantile RATE_QUANTILE of the samples and
+# moves by the share RATE_STEP of its value per sample. Prompts below RATE_MIN_TOKENS
+# are not sampled: they measure the network path rather than the engine.
 RATE_QUANTILE = 0.8
 RATE_STEP = 0.02
 RATE_MIN_TOKENS = 4000
-# Samples after which the rate reflects the servers rather than its initial value.
+# Samples after which the estimate depends on the servers, not on its initial value.
 RATE_MIN_SAMPLES = 50
-# Ids whose last state is remembered: as many as may be removed while one of their
-# writes is still delayed, a few seconds of the largest deployment; 1 KB each.
+# Maximum number of removed ids whose last state is retained, at 1 KB each. It covers
+# the ids that the largest deployment may remove in a few seconds, which is how long a
+# write of a removed id may be delayed.
 MAX_REMOVED_STATES = 500
 # A running stream emits an event every few tens of milliseconds, so a model server
-# that has requests and sends nothing for this long is not working.
+# that has requests in flight and sends nothing for this long is not working.
 MODEL_SILENCE_TIMEOUT_S = 1.0
 PLAIN_SILENCE_TIMEOUT_S = 1.0
 
@@ -47,7 +49,7 @@
     Attributes
     ----------
     by_id : dict of str to ServerState
-        Servers that may still have requests.
+        Servers that are listed, missing but retained, or may still have requests.
     cached : PrefixLocations
         Prompt segments in the servers' prefix caches.
     mixes : collections.defaultdict of str to PromptMix
@@ -64,8 +66,8 @@
         Whether the load of other nodes is received as aggregates from hubs, which are
         some hundred milliseconds old and the same for many gateways.
     missing_timeout_s : float
-        How long an entry that is missing after an outage may take to return, in
-        seconds.
+        How long a server whose entry is missing is retained, in seconds. After an
+        outage of the store the entry may return within this time.
     """
 
     def __init__(self) -> None:
@@ -89,13 +91,13 @@
         """Apply an entry; return why it was ignored, or an empty string.
 
         A server that has announced a drain never gets new requests again in the same
-        incarnation: an older read must not reactivate it.
+        incarnation: an outdated read of the store must not reactivate it.
         """
         state = self.by_id.get(entry.id)
         known = state or self.removed_states.get(entry.id)
         if known is not None and known.incarnation != entry.incarnation:
             if not entry.incarnation.is_newer_than(known.incarnation):
-                # A delayed write of the previous incarnation, or one of another
+                # A delayed write of the previous incarnation, or a write by another
                 # writer. Applying it would route requests to a server that no longer
                 # exists.
                 return f"no newer incarnation than {known.incarnation.born_ms}"
@@ -125,9 +127,9 @@
     ) -> ServerState:
         """Return the state of an incarnation that is not in the table.
 
-        The remembered state is reused. An exception is an entry without a birth time
-        whose server has announced a drain: it cannot be distinguished from the next
-        incarnation, which would never get requests.
+        The retained state of a removed id is reused, except if the entry has no birth
+        time and the server has announced a drain. This entry may belong to the next
+        incarnation, which would never get requests with the reused state.
         """
         if known is not None and known.has_announced_drain and known.entry.born is None:
             known = None
@@ -142,10 +144,11 @@
         return known or ServerState(entry, trio.current_time())
 
     def replace_incarnation(self, old: ServerState, entry: RoutedServer) -> None:
-        """Remove the previous incarnation; its requests in flight count only for it.
+        """Remove the previous incarnation of a server.
 
-        The restart is no reason to send these requests again, since they may have
-        run. The idle connections to the previous incarnation are unusable.
+        Its requests in flight are counted only for it, not for the new incarnation. The
+        restart is no reason to send them again, since they may have run. The idle
+        connections to the previous incarnation are unusable.
         """
         log.info(
             f"server {entry.id} restarted",
@@ -177,14 +180,16 @@
             self.drop(state)
         elif not state.is_missing:
             state.removal_deadline_s = trio.current_time() + self.missing_timeout_s
-            log.info(f"server {server_id} missing", born=state.entry.born)
+            log.info(f"entry of server {server_id} missing", born=state.entry.born)
 
     def replace_all(self, entries: Iterable[RoutedServer]) -> dict[str, str]:
         """Apply a complete list; return why entries were ignored, by id."""
         entries = list(entries)
         reasons = {entry.id: self.put(entry) for entry in entries}
-        known = {entry.id for entry in entries}
-        for server_id in [name for name in self.by_id if name not in known]:
+        listed = {entry.id for entry in entries}
+        for server_id in [
+            known_id for known_id in self.by_id if known_id not in listed
+        ]:
             self.remove(server_id)
         self.is_listed = True
         return {server_id: reason for server_id, reason in reasons.items() if reason}
@@ -199,7 +204,7 @@
             self.remember_removed(state)
 
     def remember_removed(self, state: ServerState) -> None:
-        """Remember the last state of a removed id.
+        """Retain the last state of a removed id.
 
         Late entries of that incarnation can then be recognized. If only the entry had
         expired in an outage, the cached prefixes of the server are still known when it
@@ -211,7 +216,7 @@
             self.removed_states.popitem(last=False)
 
     def clean_up(self) -> list[ServerIncarnation]:
-        """Drop servers past their deadline; return the incarnations that ended.
+        """Drop servers past their removal deadline; return the unused incarnations.
 
         Connections to the returned incarnations can be closed.
         """
@@ -254,7 +259,7 @@
         if tokens < RATE_MIN_TOKENS or took_s <= 0:
             return
         # The faster responses show the capacity of an engine; the others waited for
-        # requests that this gateway does not see.
+        # requests of other gateways, which this gateway does not see.
         self.rate_samples += 1
         step = RATE_STEP * self.rate
         is_faster = (tokens + ahead) / took_s > self.rate
--- a/src/rosemaryknot/process/limit_usage.py
+++ b/src/rosemaryknot/process/limit_usage.py
@@ -1,11 +1,11 @@
-"""Usage of one customer's limit by several gateways; no input or output.
+"""Usage of one customer's limit by several gateways. This module does no I/O.
 
 Load pattern: a network partition separates a zone while a customer requests many times
 its limit. Neither side receives the other's reports, and each continues to serve its
-callers. Until the partition heals, both sides use the shares of demand that were
-reported last: for each unit that a side acquires itself, it also counts the units that
-the other side acquires according to these shares. Both sides together therefore stay
-within the limit, however much the demand grows during the partition.
+callers. Until the partition heals, each side estimates the usage of the other one from
+the shares of demand that were reported last: for each unit that it acquires itself, it
+also counts the units that the other side acquires at these shares. Both sides together
+therefore stay within the limit, however much the demand grows during the partition.
 """
 
 from dataclasses import dataclass, field
@@ -57,7 +57,7 @@
     estimated_units: float = 0.0
 
     def is_silent(self, now_s: float) -> bool:
-        """Return whether the source may acquire units without its reports arriving."""
+        """Return whether the source may still acquire units although it is silent."""
         return SOURCE_SILENT_S < now_s - self.last_report_s < SOURCE_EXPIRY_S
 
 
@@ -116,8 +116,8 @@
         Parameters
         ----------
         seen : float
-            Units that are counted already; used only for a new source or a new
-            incarnation of a known one.
+            Units of the total that are counted already; used only for a new source or
+            a new incarnation of a known one.
 
         Returns
         -------
@@ -162,9 +162,9 @@
         Parameters
         ----------
         missing : int, optional
-            Number of gateways whose reports do not arrive. If most gateways of a source
-            report again, now through another source, it has stopped and acquires
-            nothing. By default all gateways are missing.
+            Number of gateways whose reports do not arrive; all of them by default. A
+            silent source is ignored if most of its gateways report again through
+            another source: the silent one has stopped then and acquires nothing.
         """
         silent = [
             source
@@ -179,10 +179,10 @@
         ratio = (1 - reporting_share) / reporting_share
         estimate = 0.0
         for source in silent:
-            part = ratio * source.share / silent_share
+            source_ratio = ratio * source.share / silent_share
             units = (
                 self.observed_units - source.observed_at_report
-            ) * part - source.estimated_units
+            ) * source_ratio - source.estimated_units
             source.estimated_units += max(0.0, units)
             estimate += max(0.0, units)
         return estimate
@@ -190,8 +190,8 @@
     def min_reporting_share(self, silent: list[Source]) -> float:
         """Return the minimum share of the limit that reporting gateways have.
 
-        Sources report their demand at different times, so the sum of their shares may
-        exceed one.
+        The shares of the silent sources alone may add up to more than one, because
+        sources report their demand at different times.
         """
         nodes = max(1, self.own_nodes + self.nodes)
         reporting_nodes = nodes - sum(source.nodes for source in silent)
--- a/src/rosemaryknot/process/limits/live_limits.py
+++ b/src/rosemaryknot/process/limits/live_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the current configuration and members of zones for limit owners."""
+"""Limits of the current configuration and nodes of each zone, for limit owners."""
 
 from collections.abc import Callable
 
@@ -42,7 +42,7 @@
         self.cache_version = (-1, 0.0)
 
     def limit(self, key: LimitKey) -> Limit:
-        """Return the limit over all zones in the current configuration."""
+        """Return the limit for all zones together from the current configuration."""
         view = self.holder.view
         customer = None if view is None else view.customers.get(key.customer)
         return UNLIMITED if customer is None else customer.limit_for(key.service)
@@ -55,8 +55,8 @@
         """
         view = self.holder.view
         placements = {} if view is None else view.placements
-        placed = {zone for zones in placements.values() for zone in zones}
-        return sorted(placed or self.known_zones())
+        configured = {zone for zones in placements.values() for zone in zones}
+        return sorted(configured or self.known_zones())
 
     def known_zones(self) -> set[str]:
         """Return the zones of all known nodes."""
@@ -67,7 +67,8 @@
         """Return the nodes of a zone.
 
         The result is cached for ``CACHE_TTL_S`` and until a node joins or leaves. With
-        many nodes, computing it takes longer than the rest of a budget request.
+        many nodes, computing it takes longer than all other work for one request for
+        budget.
         """
         changes, cached_s = self.cache_version
         now_s = trio.current_time()
@@ -79,19 +80,19 @@
         return self.cached_members[zone]
 
     def find_members(self, zone: str) -> ZoneMembers:
-        """Compute the nodes of a zone."""
+        """Compute the live nodes of a zone and the number that may be running."""
         own = self.peers.node
         live = {node.name: node for node in self.peers.nodes() if node.zone == zone}
         if own.zone == zone:
             live[own.name] = own
-        known = {
+        maybe_running = {
             record.name
             for record in self.peers.table.records.values()
             if record.zone == zone and self.may_be_running(record)
         }
         ordered = tuple(live[name] for name in sorted(live))
-        return ZoneMembers(ordered, len(known | set(live)))
+        return ZoneMembers(ordered, len(maybe_running | set(live)))
 
     def may_be_running(self, record: PeerRecord) -> bool:
-        """Return whether a node that is not visible may still grant budget."""
+        """Return whether a node may still grant budget, also if it is not reachable."""
         return record.state != PeerState.LEFT and not self.is_confirmed_stopped(record)
--- a/src/rosemaryknot/process/logs.py
+++ b/src/rosemaryknot/process/logs.py
@@ -1,9 +1,9 @@
 """Structured logging with structlog.
 
 A line consists of a component prefix, a short message, and keys and values. Until a
-main function calls `configure_logs`, only warnings and errors are written. Logging
-never blocks the caller, raises errors or grows without limit: see `LineWriter`,
-`guarded_logger` and `RepeatLimit`.
+main function calls `configure_logs`, only warnings and errors are written. A log call
+never blocks and never raises an error, and the rate of lines is limited: see
+`LineWriter`, `guarded_logger` and `RepeatLimit`.
 """
 
 import json
@@ -32,11 +32,12 @@
 STDERR = 2
 # A pipe that polls as writable accepts this many bytes without blocking (PIPE_BUF).
 MAX_LINE_BYTES = 4096
-# Maximum number of lines buffered at the end of a process if they cannot be written,
-# and how long the process waits for their reader: a third of what a shutdown leaves of
-# its grace period.
+# Limits for the last lines of a process if the reader of the log is slow: the number of
+# buffered lines, and how long the process waits for the reader. The wait is a third of
+# `SHUTDOWN_RESERVE_S`, the part of the grace period that a shutdown reserves.
 MAX_BUFFERED_LINES = 300
 FLUSH_TIMEOUT_S = 0.2
+# See `RepeatLimit`.
 MAX_REPEATS = 10
 REPEAT_WINDOW_S = 10.0
 MAX_TRACKED_TEXTS = 500
@@ -69,11 +70,11 @@
     >>> render_text(None, "info", line | {"event": "chose waco-a-e1", "request": "r1"})
     '12:00 info route: chose waco-a-e1 request=r1'
     """
-    head = "{timestamp} {level} {part}: ".format_map(event)
-    head += escape_line_breaks(str(event["event"]))
+    message = "{timestamp} {level} {part}: ".format_map(event)
+    message += escape_line_breaks(str(event["event"]))
     rest = {key: value for key, value in event.items() if key not in FIRST_KEYS}
     fields = render_fields(logger, method, rest)
-    return f"{head} {fields}" if fields else head
+    return f"{message} {fields}" if fields else message
 
 
 def render_json(logger: Any, method: str, event: EventDict) -> str:
@@ -93,7 +94,7 @@
 
 
 def add_lost_count(writer: Any, method: str, event: EventDict) -> EventDict:
-    """Add the number of lines lost before this one."""
+    """Add the number of lines lost since the last line written or buffered."""
     if writer.lost:
         event["lines_lost"] = writer.lost
     return event
@@ -114,7 +115,7 @@
     Attributes
     ----------
     lost : int
-        Number of lines lost since the last written one.
+        Number of lines lost since the last one written or buffered.
     buffered : collections.deque of bytes
         Lines to write as soon as possible, oldest first.
     buffer_capacity : int
@@ -139,8 +140,8 @@
     def exceeds_rate(self) -> bool:
         """Count a line; return whether it exceeds the limit of the current second.
 
-        Otherwise the logs would grow without limit under load, and writing them would
-        take processor time from the requests.
+        Without the limit, the logs would grow without bound under load, and writing
+        them would take processor time from the requests.
         """
         second = int(self.clock())
         if second != self.second:
@@ -152,9 +153,9 @@
     def msg(self, line: str) -> None:
         """Write or buffer a line, or count it as lost.
 
-        If the reader stops reading, the pipe fills up, and a blocking write would
-        suspend all requests of the process. A line is therefore written only if it
-        fits: a pipe that polls as writable accepts `MAX_LINE_BYTES`.
+        If the reader stops reading, the pipe fills up, and a blocking write would stall
+        all requests of the process. A line is therefore written only if the pipe polls
+        as writable; it then accepts `MAX_LINE_BYTES` without blocking.
         """
         data = line.encode(errors="replace")[: MAX_LINE_BYTES - 1] + b"\n"
         is_over_rate = self.exceeds_rate()
@@ -169,7 +170,7 @@
             self.lost += 1
 
     def write(self, data: bytes) -> bool:
-        """Write a line if it fits; return whether it was written."""
+        """Write a line if this does not block; return whether it was written."""
         try:
             if not self.is_writable():
                 return False
@@ -179,16 +180,17 @@
         return True
 
     def write_buffered(self) -> None:
-        """Write as many buffered lines as fit."""
+        """Write buffered lines until a write would block."""
         while self.buffered and self.write(self.buffered[0]):
             self.buffered.popleft()
 
     def enable_buffering(self) -> None:
         """Buffer further lines that cannot be written instead of dropping them.
 
-        The last lines of a process report what it left incomplete. If they were
-        dropped, no later line would report their number. A limit on the buffered lines
-        suffices, since few lines follow.
+        The last lines of a process report the work that it left incomplete. The number
+        of dropped lines is reported by the next line, so the loss of the last ones
+        would not be reported. Few lines follow, so a fixed limit on the buffered lines
+        is sufficient.
         """
         self.buffer_capacity = MAX_BUFFERED_LINES
 
@@ -215,7 +217,7 @@
 
 @dataclass(slots=True)
 class RepeatCount:
-    """Number of times that a text was logged in its window."""
+    """Number of times that a text was logged since the start of its time window."""
 
     since_s: float
     count: int = 0
@@ -225,8 +227,8 @@
     """Drops repeated lines and reports how many were dropped.
 
     An error that affects every request would otherwise write a line for each of them
-    and hide all other lines. Info lines with a request id are never dropped: they are
-    the decisions about that request, which operators search for.
+    and hide all other lines. Info lines with a request id are never dropped: they
+    report the decisions about that request, which operators search for.
 
     Parameters
     ----------
@@ -252,20 +254,20 @@
         self.texts: OrderedDict[tuple[str, str], RepeatCount] = OrderedDict()
 
     def __call__(self, writer: Any, method: str, event: EventDict) -> EventDict:
-        """Return the line or drop it."""
+        """Return the line; drop it if its text was repeated too often."""
         now = self.clock()
         self.close_windows(writer, now, event["timestamp"])
         if event["level"] == "info" and "request" in event:
             return event
-        text = (event["part"], str(event["event"]))
-        repeats = self.texts.setdefault(text, RepeatCount(now))
+        key = (event["part"], str(event["event"]))
+        repeats = self.texts.setdefault(key, RepeatCount(now))
         repeats.count += 1
         if repeats.count > MAX_REPEATS:
             raise structlog.DropEvent
         return event
 
     def close_windows(self, writer: Any, now: float, timestamp: str) -> None:
-        """Close expired windows, and further ones while there are too many texts."""
+        """Close expired windows, and the oldest while too many texts are tracked."""
         while self.texts:
             (part, text), repeats = next(iter(self.texts.items()))
             if (
@@ -287,17 +289,17 @@
 
 
 def guarded_logger(level: int) -> type:
-    """Return a logger class of a level whose calls never raise an error."""
+    """Return a logger class with a minimum level whose methods never raise an error."""
 
     class GuardedLogger(structlog.make_filtering_bound_logger(level)):
-        """Logger that drops lines that cannot be rendered."""
+        """Logger that drops and counts lines that cannot be rendered."""
 
         def _proxy_to_logger(self, *args: Any, **fields: Any) -> Any:
             try:
                 return super()._proxy_to_logger(*args, **fields)
             except Exception:
                 # A value that cannot be converted to text must not abort the request
-                # that logs it. The writer counts the missing line.
+                # that logs it. The line is counted as lost.
                 self._logger.lost += 1
                 return None
 
@@ -348,7 +350,7 @@
     Parameters
     ----------
     part : str
-        Name of the component, the prefix of its lines, such as ``route``.
+        Name of the component, which is the prefix of its lines, such as ``route``.
 
     Returns
     -------
--- a/src/rosemaryknot/process/peer_links.py
+++ b/src/rosemaryknot/process/peer_links.py
@@ -1,4 +1,4 @@
-"""Link topology: which nodes to link to and which to forward messages through."""
+"""Link topology: selection of nodes to link to, and of nodes that forward messages."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -35,19 +35,20 @@
 def select_relays(names: Iterable[str], count: int) -> list[str]:
     """Return the relays of a zone: the names with the lowest hashes.
 
-    Each node computes them independently. Different views of the membership cost
-    additional links or a hop, but never cause an incorrect result.
+    Each node computes them independently. If nodes have different views of the
+    membership, the topology has additional links or a route an additional hop, but the
+    result is never incorrect.
     """
     return list(lowest_hashes(tuple(names), count))
 
 
 @lru_cache(maxsize=256)
 def lowest_hashes(names: tuple[str, ...], count: int) -> tuple[str, ...]:
-    """Return the names with the lowest hashes; cached for message forwarding."""
-    ranked = sorted(
+    """Return the names with the lowest hashes; cached, as forwarding calls it often."""
+    sorted_names = sorted(
         names, key=lambda name: (xxhash.xxh64_intdigest(name.encode()), name)
     )
-    return tuple(ranked[:count])
+    return tuple(sorted_names[:count])
 
 
 def names_by_zone(nodes: Iterable[Node]) -> dict[str, list[str]]:
@@ -68,12 +69,16 @@
 def select_link_targets(own: Node, others: Iterable[Node], plan: LinkPlan) -> set[str]:
     """Return the names of the nodes that a node should link to.
 
+    Up to `LinkPlan.full_mesh_nodes`, every node links to all others. Above, a relay
+    links to its zone and to the relays of the other zones; another node links to the
+    relays of its zone and to its successors on the ring of the zone's names.
+
     Parameters
     ----------
     own : Node
         This node.
     others : iterable of Node
-        The other live nodes.
+        The other nodes that may be linked to.
     plan : LinkPlan
         Link topology parameters.
 
@@ -110,7 +115,7 @@
 def forwarding_candidates(
     own: Node, target: Node, linked: list[Node], live_nodes: list[Node], plan: LinkPlan
 ) -> list[str]:
-    """Return the linked nodes that may forward a message, best first.
+    """Return the linked nodes that may forward a message, in the order to try them.
 
     Parameters
     ----------
@@ -127,9 +132,9 @@
     -------
     names : list of str
         Relays of the target's zone, then other nodes of that zone, then relays of
-        the sender's zone, then other relays, then the rest. The order of equal
-        candidates depends on sender and target, or one relay would carry all
-        messages.
+        the sender's zone, then other relays, then the rest. Equal candidates are
+        ordered by a hash that includes sender and target; with a fixed order, one relay
+        would carry all messages.
     """
     zones = names_by_zone([own, *live_nodes])
     relays = {
@@ -138,14 +143,14 @@
         for name in select_relays(names, plan.relays_per_zone)
     }
 
-    def cost(node: Node) -> tuple[bool, bool, bool, int]:
+    def sort_key(node: Node) -> tuple[bool, bool, bool, int]:
         is_relay = node.name in relays
-        ends = f"{own.name}>{target.name}>{node.name}"
+        route = f"{own.name}>{target.name}>{node.name}"
         return (
             node.zone != target.zone,
             not is_relay,
             node.zone != own.zone,
-            xxhash.xxh64_intdigest(ends.encode()),
+            xxhash.xxh64_intdigest(route.encode()),
         )
 
-    return [n.name for n in sorted(linked, key=cost) if n.name != target.name]
+    return [n.name for n in sorted(linked, key=sort_key) if n.name != target.name]
--- a/src/rosemaryknot/replay/audit.py
+++ b/src/rosemaryknot/replay/audit.py
@@ -1,23 +1,23 @@
-"""Compare the callers' notes of a run with the ledgers of the backend servers."""
+"""Audit of a run: callers' records against the ledgers of the backend servers."""
 
 import json
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from rosemaryknot.replay.notes import BookingNote, ModelNote
+from rosemaryknot.replay.caller_records import BookingRecord, ModelRecord
 from rosemaryknot.standin.answers import answer_length, prompt_text, wrong_token
 from rosemaryknot.standin.plain import Run
 
-__all__ = ["Violation", "audit_booking", "audit_leaving", "audit_model"]
+__all__ = ["Violation", "audit_booking", "audit_draining", "audit_model"]
 
 CROSSED, MIXED, SHORT = "crossed", "mixed", "short"
 OK = "200"
-LEAVING_BOUND_S = 2.0
+MAX_START_AFTER_NOTICE_S = 2.0
 
 
 @dataclass(slots=True)
 class Violation:
-    """A promise that a run broke.
+    """Violation of a guarantee in a run.
 
     Attributes
     ----------
@@ -25,9 +25,9 @@
         ``ran_twice``, ``false_not_run``, ``answer_without_run``, ``crossed``,
         ``mixed``, ``short``, ``lost`` or ``work_for_leaving``.
     subject : str
-        Key or request id.
+        Idempotency key or request id.
     detail : str
-        What was seen.
+        Observed values.
     """
 
     kind: str
@@ -35,103 +35,108 @@
     detail: str
 
 
-def is_false_not_run(note: BookingNote, send: int, run: Run) -> bool:
-    """Tell whether a run makes the "not run" that a send was told untrue.
+def is_false_not_run(record: BookingRecord, send: int, run: Run) -> bool:
+    """Return whether an execution contradicts the ``not_run`` response of a send.
 
-    A refusal of one attempt says that no attempt up to it ran or will run; a higher
-    one may. Where no numbers are declared it speaks of the whole key.
+    The refusal of an attempt states that this attempt and all lower ones were not
+    and will not be executed; higher ones may be. If the caller declares no attempt
+    numbers, the refusal covers all sends with the key.
     """
-    return not note.declares or int(run.send) <= send
+    return not record.declares or int(run.send) <= send
 
 
-def audit_booking(note: BookingNote, runs: Iterable[Run]) -> list[Violation]:
-    """Return what is wrong with one booking.
+def audit_booking(record: BookingRecord, runs: Iterable[Run]) -> list[Violation]:
+    """Return the violations of one booking.
 
     Parameters
     ----------
-    note : BookingNote
-        What its caller was told.
+    record : BookingRecord
+        Responses that its caller received.
     runs : iterable of Run
-        Runs with its key on all servers of the service.
+        Executions with its key on all servers of the service.
 
     Returns
     -------
     violations : list of Violation
-        Empty where all is well.
+        Empty if there are none.
     """
     runs = list(runs)
     found = []
     if len(runs) > 1:
         sends = [run.send for run in runs]
-        found.append(Violation("ran_twice", note.key, f"sends {sends}"))
-    for reply in note.replies:
+        found.append(Violation("ran_twice", record.key, f"sends {sends}"))
+    for reply in record.replies:
         if reply.outcome == "not_run":
-            untrue = [r for r in runs if is_false_not_run(note, reply.send, r)]
-            if untrue:
-                detail = f"send {reply.send} {reply.reason}; ran {untrue[0].send}"
-                found.append(Violation("false_not_run", note.key, detail))
+            contradicting = [r for r in runs if is_false_not_run(record, reply.send, r)]
+            if contradicting:
+                detail = (
+                    f"send {reply.send} {reply.reason}; ran {contradicting[0].send}"
+                )
+                found.append(Violation("false_not_run", record.key, detail))
         if reply.outcome != "answered" or reply.reason != OK:
             continue
-        if json.loads(reply.body)["key"] != note.key:
-            found.append(Violation(CROSSED, note.key, reply.body[:80]))
+        if json.loads(reply.body)["key"] != record.key:
+            found.append(Violation(CROSSED, record.key, reply.body[:80]))
         if not runs:
-            found.append(Violation("answer_without_run", note.key, ""))
+            found.append(Violation("answer_without_run", record.key, ""))
     return found
 
 
 def audit_model(
-    note: ModelNote, is_excused: Callable[[ModelNote], bool]
+    record: ModelRecord, is_loss_allowed: Callable[[ModelRecord], bool]
 ) -> list[Violation]:
-    """Return what is wrong with one model request.
+    """Return the violations of one model request.
 
     Parameters
     ----------
-    note : ModelNote
-        What its caller got.
-    is_excused : callable
-        Whether losing it breaks no promise, such as after a death without notice.
+    record : ModelRecord
+        Response that its caller received.
+    is_loss_allowed : callable
+        Returns whether its loss violates no guarantee, for example because the entry
+        that accepted it was killed without notice.
 
     Returns
     -------
     violations : list of Violation
-        Empty where all is well.
+        Empty if there are none.
     """
-    prompt = prompt_text([{"role": "user", "content": note.prompt}])
+    prompt = prompt_text([{"role": "user", "content": record.prompt}])
     found = []
-    if note.tokens and wrong_token(prompt, note.lineage, note.tokens) is not None:
-        found.append(Violation(MIXED, note.id, f"of {len(note.tokens)} tokens"))
-    if note.outcome == "answered":
-        length = answer_length(prompt, note.max_tokens)
-        if len(note.tokens) != length or note.stated_tokens != length:
-            detail = f"{len(note.tokens)} of {length}, stated {note.stated_tokens}"
-            found.append(Violation(SHORT, note.id, detail))
-    elif note.id and not is_excused(note):
-        detail = f"{note.outcome} {note.reason} after {len(note.tokens)} tokens"
-        found.append(Violation("lost", note.id, detail))
+    if record.tokens and wrong_token(prompt, record.lineage, record.tokens) is not None:
+        found.append(Violation(MIXED, record.id, f"of {len(record.tokens)} tokens"))
+    if record.outcome == "answered":
+        length = answer_length(prompt, record.max_tokens)
+        if len(record.tokens) != length or record.stated_tokens != length:
+            detail = f"{len(record.tokens)} of {length}, stated {record.stated_tokens}"
+            found.append(Violation(SHORT, record.id, detail))
+    elif record.id and not is_loss_allowed(record):
+        detail = f"{record.outcome} {record.reason} after {len(record.tokens)} tokens"
+        found.append(Violation("lost", record.id, detail))
     return found
 
 
-def audit_leaving(
+def audit_draining(
     instance: str, notice_unix_s: float, started: Mapping[str, float]
 ) -> list[Violation]:
-    """Return the requests that a leaving server was newly given.
+    """Return violations for new requests that were sent to a draining server.
 
     Parameters
     ----------
     instance : str
-        The server.
+        Instance of the server.
     notice_unix_s : float
-        When its notice was sent, seconds of the epoch.
+        Time at which its reclaim notice was sent, in seconds since the epoch.
     started : mapping of str to float
-        When its work for each request began, seconds of the epoch.
+        Time at which it started each request, in seconds since the epoch.
 
     Returns
     -------
     violations : list of Violation
-        One for each request that began later than `LEAVING_BOUND_S` after the notice.
+        One for each request that started more than `MAX_START_AFTER_NOTICE_S` after the
+        notice.
     """
     return [
         Violation("work_for_leaving", request, f"{instance} {late_s:.1f} s after")
         for request, unix_s in started.items()
-        if (late_s := unix_s - notice_unix_s) > LEAVING_BOUND_S
+        if (late_s := unix_s - notice_unix_s) > MAX_START_AFTER_NOTICE_S
     ]
--- a/src/rosemaryknot/replay/notes.py
+++ b/src/rosemaryknot/replay/caller_records.py
@@ -1,31 +1,31 @@
-"""What the callers of a run note down of what they sent and were told."""
+"""Records of the requests that simulated callers sent and of the responses."""
 
 from dataclasses import dataclass, field
 
-__all__ = ["BookingNote", "ModelNote", "Reply"]
+__all__ = ["BookingRecord", "ModelRecord", "Reply"]
 
 
 @dataclass(slots=True)
 class Reply:
-    """What one send of a booking came to.
+    """Result of one send of a booking.
 
     Attributes
     ----------
     send : int
-        Which of the caller's sends, from 1.
+        Number of the send, counted from 1.
     attempt : int
-        Attempt number that was declared; 0 for none.
+        Declared attempt number; 0 for none.
     sent_s : float
-        When it was sent, in virtual seconds.
+        Time at which it was sent, in virtual seconds.
     outcome : str
-        ``answered``, ``not_run``, ``unknown``, ``running`` or, where nothing came
-        back, ``none``.
+        ``answered``, ``not_run``, ``unknown``, ``running``, or ``none`` if no
+        response was received.
     reason : str
         Reason given with the outcome.
     entry : str
-        Entry that it was sent to.
+        Address of the entry to which it was sent.
     body : str
-        Body of an answer.
+        Body of the response.
     """
 
     send: int
@@ -38,19 +38,19 @@
 
 
 @dataclass(slots=True)
-class BookingNote:
-    """One booking or alert: a key, and all its sends.
+class BookingRecord:
+    """Booking or alert, with all sends under its idempotency key.
 
     Attributes
     ----------
     key : str
         Idempotency key.
     service : str
-        Plain service.
+        Name of the plain service.
     declares : bool
         Whether the caller declares attempt numbers.
     replies : list of Reply
-        In the order in which they ended.
+        Results of the sends, in order of completion.
     """
 
     key: str
@@ -60,33 +60,35 @@
 
 
 @dataclass(slots=True)
-class ModelNote:
-    """One model request.
+class ModelRecord:
+    """Model request and the response received so far.
 
     Attributes
     ----------
     prompt : str
         Text of the prompt.
     max_tokens : int
-        Limit that was asked for.
+        Requested maximum number of tokens.
     id : str
-        Request id, once it was accepted.
+        Request id; empty until the request is accepted.
     lineage : str
-        Lineage of the text.
+        Lineage of the received text.
     tokens : list of str
-        Text so far.
+        Tokens received so far.
     outcome : str
-        ``answered``, ``not_run``, ``unknown``, or ``none`` where nobody said.
+        ``answered``, ``not_run``, ``unknown``, or ``none`` if no outcome was
+        received.
     reason : str
         Reason given with the outcome.
     entry : str
-        Entry that accepted it.
+        Address of the entry that accepted it.
     pickups : int
-        How often the caller asked again by the id.
+        Number of times that the caller resumed the stream by the request id.
     stated_tokens : int
-        Number of tokens that the last event stated.
+        Number of tokens according to the final event.
     accepted_s, first_token_s, ended_s : float
-        Times, in virtual seconds; 0 where it did not come to that.
+        Times of acceptance, of the first token and of the end, in virtual seconds;
+        0 if the event did not occur.
     """
 
     prompt: str
--- a/src/rosemaryknot/replay/callers.py
+++ b/src/rosemaryknot/replay/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a run: they give up, ask again elsewhere, and note what they are told."""
+"""Simulated callers, which time out, retry at other entries and record responses."""
 
 import json
 import random
@@ -7,7 +7,7 @@
 import httpx
 import trio
 
-from rosemaryknot.replay.notes import BookingNote, ModelNote, Reply
+from rosemaryknot.replay.caller_records import BookingRecord, ModelRecord, Reply
 
 __all__ = ["BookingPlan", "Caller"]
 
@@ -17,18 +17,19 @@
 
 @dataclass(slots=True)
 class BookingPlan:
-    """How a caller behaves with one booking.
+    """Retry plan of a caller for one booking.
 
     Attributes
     ----------
     declares : bool
         Whether it declares attempt numbers.
     sends : int
-        How often it sends at most.
+        Maximum number of sends.
     timeout_s : float
-        After how long it gives a send up.
+        Timeout of each send.
     overlap_s : float
-        After how long it sends again without waiting; 0 to wait for each reply.
+        Interval after which it sends again without waiting for the reply; 0 to wait
+        for each reply.
     """
 
     declares: bool
@@ -37,10 +38,11 @@
     overlap_s: float = 0.0
 
 
-def outcome_of(response: httpx.Response) -> tuple[str, str]:
+def parse_outcome(response: httpx.Response) -> tuple[str, str]:
     """Return the outcome and the reason of a response.
 
-    A response without an outcome is the service's own answer, passed through.
+    A response without an outcome is the response of the service, which the entry
+    passed through.
     """
     try:
         body = response.json()
@@ -52,20 +54,20 @@
 
 
 class Caller:
-    """One customer's program.
+    """Simulated program of a customer.
 
     Parameters
     ----------
     client : httpx.AsyncClient
-        Its connections.
+        HTTP client.
     api_key : str
-        Its key.
+        API key of the customer.
     entries : list of str
-        Addresses of the entries, as the balancer would hand them out.
+        Addresses of the entries among which the load balancer chooses.
     rng : random.Random
-        For the choice of entries.
-    near : list of str, optional
-        Addresses that its first send goes to; by default all.
+        Random number generator for the choice of entries and for retries.
+    first_entries : list of str, optional
+        Addresses among which the entry of the first send is chosen; by default all.
     """
 
     def __init__(
@@ -74,30 +76,30 @@
         api_key: str,
         entries: list[str],
         rng: random.Random,
-        near: list[str] | None = None,
+        first_entries: list[str] | None = None,
     ) -> None:
         self.client = client
         self.headers = {"Authorization": f"Bearer {api_key}"}
         self.entries = entries
         self.rng = rng
-        self.near = near or []
+        self.first_entries = first_entries or []
 
     def next_entry(self) -> str:
-        """Return the entry for the next send, as the balancer would choose it."""
-        near, self.near = self.near, []
-        return self.rng.choice(near or self.entries)
+        """Return the entry for the next send, as a load balancer chooses it."""
+        first_entries, self.first_entries = self.first_entries, []
+        return self.rng.choice(first_entries or self.entries)
 
     # Bookings
 
-    async def book(self, note: BookingNote, plan: BookingPlan) -> None:
-        """Send a booking until it is answered, or the plan's sends are used up."""
+    async def book(self, record: BookingRecord, plan: BookingPlan) -> None:
+        """Send a booking until it is answered or the planned sends are exhausted."""
         async with trio.open_nursery() as nursery:
             for send in range(1, plan.sends + 1):
                 if plan.overlap_s:
-                    nursery.start_soon(self.send_booking, note, plan, send)
+                    nursery.start_soon(self.send_booking, record, plan, send)
                     await trio.sleep(plan.overlap_s)
                     continue
-                reply = await self.send_booking(note, plan, send)
+                reply = await self.send_booking(record, plan, send)
                 if reply.outcome == "answered":
                     return
                 if reply.outcome == "not_run" and self.rng.random() < 0.5:
@@ -105,48 +107,48 @@
                 await trio.sleep(self.rng.uniform(0.05, 1.0))
 
     async def send_booking(
-        self, note: BookingNote, plan: BookingPlan, send: int
+        self, record: BookingRecord, plan: BookingPlan, send: int
     ) -> Reply:
-        """Send a booking once and note the reply."""
+        """Send a booking once and record the reply."""
         entry = self.next_entry()
         attempt = send if plan.declares else 0
-        headers = self.headers | {"Idempotency-Key": note.key, "Test-Send": str(send)}
+        headers = self.headers | {"Idempotency-Key": record.key, "Test-Send": str(send)}
         if attempt:
             headers["Rosemaryknot-Attempt"] = str(attempt)
         reply = Reply(send, attempt, trio.current_time(), "none", entry=entry)
         try:
             with trio.fail_after(plan.timeout_s):
                 response = await self.client.post(
-                    f"http://{entry}/services/{note.service}/bookings",
+                    f"http://{entry}/services/{record.service}/bookings",
                     headers=headers,
-                    json={"slot": note.key},
+                    json={"slot": record.key},
                 )
-            reply.outcome, reply.reason = outcome_of(response)
+            reply.outcome, reply.reason = parse_outcome(response)
             reply.body = response.text
         except (httpx.HTTPError, trio.TooSlowError) as error:
             reply.reason = type(error).__name__
-        note.replies.append(reply)
+        record.replies.append(reply)
         return reply
 
     # Model requests
 
-    async def ask(self, note: ModelNote, service: str, patience_s: float) -> None:
-        """Ask a model, and pick the answer up elsewhere when the stream breaks."""
-        with trio.move_on_after(patience_s):
-            while not note.id and note.outcome == "none":
-                await self.first_stream(note, service)
-            while note.outcome == "none":
+    async def ask(self, record: ModelRecord, service: str, timeout_s: float) -> None:
+        """Send a model request, and resume at another entry if its stream breaks."""
+        with trio.move_on_after(timeout_s):
+            while not record.id and record.outcome == "none":
+                await self.send_and_read_stream(record, service)
+            while record.outcome == "none":
                 await trio.sleep(PICKUP_GAP_S)
-                await self.pick_up(note)
-        note.ended_s = trio.current_time()
+                await self.pick_up(record)
+        record.ended_s = trio.current_time()
 
-    async def first_stream(self, note: ModelNote, service: str) -> None:
-        """Send the request and read its stream as far as it goes."""
+    async def send_and_read_stream(self, record: ModelRecord, service: str) -> None:
+        """Send the request and read its stream until it ends or breaks."""
         entry = self.next_entry()
         body = {
             "model": service,
-            "messages": [{"role": "user", "content": note.prompt}],
-            "max_tokens": note.max_tokens,
+            "messages": [{"role": "user", "content": record.prompt}],
+            "max_tokens": record.max_tokens,
             "stream": True,
         }
         url = f"http://{entry}/v1/chat/completions"
@@ -154,56 +156,57 @@
             async with self.client.stream(
                 "POST", url, headers=self.headers, json=body, timeout=IDLE_TIMEOUT_S
             ) as response:
-                note.entry = entry
-                await self.read_stream(note, response)
+                record.entry = entry
+                await self.read_stream(record, response)
         except (httpx.HTTPError, trio.TooSlowError):
             await trio.sleep(PICKUP_GAP_S)
 
-    async def pick_up(self, note: ModelNote) -> None:
-        """Ask any entry for the rest of an accepted request."""
-        note.pickups += 1
+    async def pick_up(self, record: ModelRecord) -> None:
+        """Request the rest of an accepted request's stream from any entry."""
+        record.pickups += 1
         entry = self.next_entry()
-        url = f"http://{entry}/v1/requests/{note.id}?offset={len(note.tokens)}"
+        url = f"http://{entry}/v1/requests/{record.id}?offset={len(record.tokens)}"
         try:
             async with self.client.stream(
                 "GET", url, headers=self.headers, timeout=IDLE_TIMEOUT_S
             ) as response:
                 if response.status_code == 200:
-                    await self.read_stream(note, response)
+                    await self.read_stream(record, response)
         except (httpx.HTTPError, trio.TooSlowError):
             return
 
-    async def read_stream(self, note: ModelNote, response: httpx.Response) -> None:
-        """Read a response; a refusal has no stream."""
+    async def read_stream(self, record: ModelRecord, response: httpx.Response) -> None:
+        """Record the stream of a response, or the outcome of a refusal."""
         if response.status_code != 200:
             await response.aread()
-            note.outcome, note.reason = outcome_of(response)
+            record.outcome, record.reason = parse_outcome(response)
             return
-        note.id = response.headers.get("Rosemaryknot-Request", note.id)
-        note.accepted_s = note.accepted_s or trio.current_time()
+        record.id = response.headers.get("Rosemaryknot-Request", record.id)
+        record.accepted_s = record.accepted_s or trio.current_time()
         async for line in response.aiter_lines():
             if line.startswith("data: {"):
-                self.take_event(note, json.loads(line[6:]))
+                self.record_event(record, json.loads(line[6:]))
 
-    def take_event(self, note: ModelNote, event: dict) -> None:
-        """Note one event of a stream."""
+    def record_event(self, record: ModelRecord, event: dict) -> None:
+        """Record one event of a stream."""
         if event.get("outcome") == "running":
-            # The entry leaves: another one goes on with it, where we pick it up.
+            # The entry is draining; another entry continues the request, and the caller
+            # resumes the stream there.
             return
         if "outcome" in event:
-            note.outcome = event["outcome"]
-            note.reason = event.get("reason", "")
-            note.stated_tokens = event.get("tokens", 0)
+            record.outcome = event["outcome"]
+            record.reason = event.get("reason", "")
+            record.stated_tokens = event.get("tokens", 0)
         elif "choices" in event:
-            self.take_token(note, event)
-
-    def take_token(self, note: ModelNote, event: dict) -> None:
-        """Note one token; text of another lineage starts the answer anew."""
-        if event["lineage"] != note.lineage:
-            note.lineage = event["lineage"]
-            note.tokens.clear()
-        note.first_token_s = note.first_token_s or trio.current_time()
-        if event["offset"] == len(note.tokens):
-            note.tokens.append(event["choices"][0]["delta"]["content"])
-        elif event["offset"] > len(note.tokens):
-            note.reason = f"gap before token {event['offset']}"
+            self.record_token(record, event)
+
+    def record_token(self, record: ModelRecord, event: dict) -> None:
+        """Record one token; a change of lineage discards the tokens received so far."""
+        if event["lineage"] != record.lineage:
+            record.lineage = event["lineage"]
+            record.tokens.clear()
+        record.first_token_s = record.first_token_s or trio.current_time()
+        if event["offset"] == len(record.tokens):
+            record.tokens.append(event["choices"][0]["delta"]["content"])
+        elif event["offset"] > len(record.tokens):
+            record.reason = f"gap before token {event['offset']}"
--- a/src/rosemaryknot/replay/fault_kinds.py
+++ b/src/rosemaryknot/replay/fault_kinds.py
@@ -1,7 +1,8 @@
-"""Faults that a run can meet, in a registry that decorators fill.
+"""Registry of the faults that can be injected into a run.
 
-Each fault is an async function of the running system and a random generator. It
-begins a fault, holds it for a while and ends it; several run at once.
+Each fault is an async function of the running system and a random number generator,
+registered by a decorator. It starts the fault, sleeps for its duration and ends it.
+Several faults run concurrently.
 """
 
 import random
@@ -42,9 +43,9 @@
     "service away",
 ]
 
-NOTICE_S = (2.0, 4.0)
-RESTART_S = (0.3, 3.0)
-HOLD_S = (0.3, 8.0)
+NOTICE_RANGE_S = (2.0, 4.0)
+RESTART_DELAY_RANGE_S = (0.3, 3.0)
+DURATION_RANGE_S = (0.3, 8.0)
 
 
 def fault(name: str) -> Callable[[Fault], Fault]:
@@ -53,12 +54,12 @@
     Parameters
     ----------
     name : str
-        As reports name it.
+        Name in the reports.
 
     Returns
     -------
     decorator : callable
-        Returns the function unchanged.
+        Decorator that returns the function unchanged.
     """
 
     def register(function: Fault) -> Fault:
@@ -68,13 +69,13 @@
     return register
 
 
-def any_node(system: System, rng: random.Random) -> NodeProcesses:
-    """Return a node."""
+def random_node(system: System, rng: random.Random) -> NodeProcesses:
+    """Return a random node."""
     return system.nodes[rng.choice(sorted(system.nodes))]
 
 
 def live_servers(system: System, plain: bool | None = None) -> list[ServerProcess]:
-    """Return the servers that live, of one kind or of both."""
+    """Return the running servers, of one kind or of both."""
     return [
         server
         for server in system.servers.values()
@@ -85,67 +86,68 @@
     ]
 
 
-def any_server(
+def random_server(
     system: System, rng: random.Random, plain: bool | None = None
 ) -> ServerProcess | None:
-    """Return a live server, if there is one."""
+    """Return a random running server, or None if there is none."""
     servers = live_servers(system, plain)
     return rng.choice(servers) if servers else None
 
 
-async def hold(rng: random.Random) -> None:
-    """Let a fault last."""
-    await trio.sleep(rng.uniform(*HOLD_S))
+async def sleep_fault_duration(rng: random.Random) -> None:
+    """Sleep for a random fault duration."""
+    await trio.sleep(rng.uniform(*DURATION_RANGE_S))
 
 
 @fault("freeze entry")
 async def freeze_entry(system: System, rng: random.Random) -> None:
-    """Freeze an entry, as the host of a small instance may."""
-    host = any_node(system, rng).entry
+    """Freeze an entry, as the hypervisor of a small instance may."""
+    host = random_node(system, rng).entry
     host.freeze()
-    await hold(rng)
+    await sleep_fault_duration(rng)
     host.thaw()
 
 
 @fault("freeze agent")
 async def freeze_agent(system: System, rng: random.Random) -> None:
     """Freeze an agent."""
-    host = any_node(system, rng).agent
+    host = random_node(system, rng).agent
     host.freeze()
-    await hold(rng)
+    await sleep_fault_duration(rng)
     host.thaw()
 
 
 @fault("kill entry")
 async def kill_entry(system: System, rng: random.Random) -> None:
-    """Kill an entry without notice; it is started again at the same address."""
-    node = any_node(system, rng)
+    """Kill an entry without notice and restart it at the same address."""
+    node = random_node(system, rng)
     node.entry.kill()
-    system.unannounced.add(str(node.settings.listen.callers))
-    await trio.sleep(rng.uniform(*RESTART_S))
+    system.killed_entries.add(str(node.settings.listen.callers))
+    await trio.sleep(rng.uniform(*RESTART_DELAY_RANGE_S))
     system.restart_entry(node.settings.node)
 
 
 @fault("kill agent")
 async def kill_agent(system: System, rng: random.Random) -> None:
-    """Kill an agent without notice; it is started again at the same address."""
-    node = any_node(system, rng)
+    """Kill an agent without notice and restart it at the same address."""
+    node = random_node(system, rng)
     node.agent.kill()
-    await trio.sleep(rng.uniform(*RESTART_S))
+    await trio.sleep(rng.uniform(*RESTART_DELAY_RANGE_S))
     system.restart_agent(node.settings.node)
 
 
 @fault("restart agents")
 async def restart_agents(system: System, rng: random.Random) -> None:
-    """Kill all agents of a zone, or of all zones, and start them again at once.
+    """Kill all agents of a zone, or of all zones, and restart them together.
 
-    Owners die together with the holders of their copies, as in a careless upgrade.
+    Shard owners stop at the same time as the holders of their replicas, as in an
+    upgrade that does not proceed node by node.
     """
     zone = rng.choice([*system.plan.zones, ""])
     names = sorted(n for n, p in system.nodes.items() if zone in ("", p.settings.zone))
     for name in names:
         system.nodes[name].agent.kill()
-    await trio.sleep(rng.choice([0.0, rng.uniform(*RESTART_S)]))
+    await trio.sleep(rng.choice([0.0, rng.uniform(*RESTART_DELAY_RANGE_S)]))
     servers = system.platform.cloud.servers
     for name in names:
         if servers[name].state != ServerState.TERMINATED:
@@ -154,44 +156,49 @@
 
 @fault("reclaim node")
 async def reclaim_node(system: System, rng: random.Random) -> None:
-    """Reclaim the instance of a node with notice, if two others stay."""
+    """Reclaim the instance of a node with notice, if at least two others remain."""
     cloud = system.platform.cloud
     live = [n for n in system.nodes if cloud.servers[n].state == ServerState.LIVE]
     if len(live) > 2:
-        system.platform.reclaim(rng.choice(sorted(live)), rng.uniform(*NOTICE_S))
+        system.platform.reclaim(rng.choice(sorted(live)), rng.uniform(*NOTICE_RANGE_S))
 
 
 @fault("reclaim zone")
 async def reclaim_zone(system: System, rng: random.Random) -> None:
-    """Reclaim the backend servers of a zone; the next notice may follow at once."""
+    """Reclaim all backend servers of a zone and start replacements one by one.
+
+    Further reclaim notices may follow immediately.
+    """
     zone = rng.choice(system.plan.zones)
-    gone = [s for s in live_servers(system) if s.listed.zone == zone]
-    notice_s = rng.uniform(*NOTICE_S)
-    for server in gone:
+    reclaimed = [s for s in live_servers(system) if s.listed.zone == zone]
+    notice_s = rng.uniform(*NOTICE_RANGE_S)
+    for server in reclaimed:
         system.platform.reclaim(server.listed.instance, notice_s)
-    for server in gone:
+    for server in reclaimed:
         await trio.sleep(rng.uniform(0.2, 2.0))
         await system.start_server(server.listed.service, zone)
 
 
 @fault("reclaim target")
 async def reclaim_target(system: System, rng: random.Random) -> None:
-    """Reclaim a server, and a moment later another that may take its streams."""
+    """Reclaim a server, and shortly after it one that may have taken its streams."""
     for _ in range(2):
-        server = any_server(system, rng, plain=False)
+        server = random_server(system, rng, plain=False)
         if server is not None:
-            system.platform.reclaim(server.listed.instance, rng.uniform(*NOTICE_S))
+            system.platform.reclaim(
+                server.listed.instance, rng.uniform(*NOTICE_RANGE_S)
+            )
             await trio.sleep(rng.uniform(0.1, 1.5))
             await system.start_server(server.listed.service, server.listed.zone)
 
 
 @fault("kill server")
 async def kill_server(system: System, rng: random.Random) -> None:
-    """Let a backend server die without notice."""
-    server = any_server(system, rng)
+    """Kill a backend server without notice."""
+    server = random_server(system, rng)
     if server is not None:
         server.host.kill()
-        await hold(rng)
+        await sleep_fault_duration(rng)
         system.platform.cloud.terminate(server.listed.instance)
         await system.start_server(server.listed.service, server.listed.zone)
 
@@ -199,16 +206,16 @@
 @fault("freeze server")
 async def freeze_server(system: System, rng: random.Random) -> None:
     """Freeze a backend server."""
-    server = any_server(system, rng)
+    server = random_server(system, rng)
     if server is not None:
         server.host.freeze()
-        await hold(rng)
+        await sleep_fault_duration(rng)
         server.host.thaw()
 
 
 @fault("silent links")
 async def silence_links(system: System, rng: random.Random) -> None:
-    """Silence open connections for good, while new ones work."""
+    """Make some open connections permanently silent; new ones work."""
     pairs = {
         (stream.near, stream.far)
         for stream in system.network.streams
@@ -219,44 +226,44 @@
 
 
 @fault("cut zone")
-async def cut_zone(system: System, rng: random.Random) -> None:
-    """Partition a zone from the other zones, and mostly from the platform too."""
+async def partition_zone(system: System, rng: random.Random) -> None:
+    """Partition a zone from the other zones and, in 70 % of cases, the platform."""
     zone = rng.choice(system.plan.zones)
-    system.cut_zone(zone, platform_too=rng.random() < 0.7)
-    await hold(rng)
+    system.partition_zone(zone, platform_too=rng.random() < 0.7)
+    await sleep_fault_duration(rng)
     system.heal_zone(zone)
 
 
 @fault("platform outage")
 async def platform_outage(system: System, rng: random.Random) -> None:
-    """Take the platform away: refusing, or silent."""
+    """Make the platform unavailable: it refuses connections or does not respond."""
     faults = system.platform.faults
     faults.outage = rng.choice([OUTAGE_REFUSE, OUTAGE_SILENT])
-    await hold(rng)
+    await sleep_fault_duration(rng)
     faults.outage = ""
 
 
 @fault("slow platform")
 async def slow_platform(system: System, rng: random.Random) -> None:
-    """Let writes take effect late and answers take long."""
+    """Delay the responses of the platform and the effect of writes."""
     faults = system.platform.faults
     faults.slow_s = rng.uniform(0.1, 3.0)
     faults.late_effect_s = rng.choice([0.0, rng.uniform(0.1, 2.0)])
-    await hold(rng)
+    await sleep_fault_duration(rng)
     faults.slow_s = faults.late_effect_s = 0.0
 
 
 @fault("lost platform answers")
 async def lose_answers(system: System, rng: random.Random) -> None:
-    """Lose the answers of writes that took effect, and lines of watches."""
+    """Drop the responses of writes that took effect, and events of watches."""
     system.platform.faults.lose_answers += rng.randint(1, 4)
     system.platform.faults.watch_gaps += rng.randint(0, 2)
 
 
 @fault("plain service")
 async def plain_service(system: System, rng: random.Random) -> None:
-    """Let calls of a plain service go wrong before or after they ran."""
-    server = any_server(system, rng, plain=True)
+    """Make calls of a plain service fail before or after they are executed."""
+    server = random_server(system, rng, plain=True)
     if server is not None:
         name = rng.choice(
             ["silent_before", "silent_after", "lose_answer", "late", "refuse"]
@@ -266,43 +273,44 @@
 
 
 @fault("service away")
-async def service_away(system: System, rng: random.Random) -> None:
-    """Let nobody listen at the servers of a plain service, for a while."""
+async def close_service_listeners(system: System, rng: random.Random) -> None:
+    """Close the listeners of all servers of a plain service for a while."""
     service = rng.choice(
         sorted(s for s, k in system.plan.kinds.items() if k == "plain")
     )
     servers = [s for s in live_servers(system, True) if s.listed.service == service]
-    away = {}
+    closed = {}
     for server in servers:
         host = server.host.network.host
         listeners = system.network.listeners
-        away.update((a, accept) for a, accept in listeners.items() if a.host == host)
+        closed.update((a, accept) for a, accept in listeners.items() if a.host == host)
         system.network.kill_host(host)
-    await hold(rng)
+    await sleep_fault_duration(rng)
     for server in servers:
         if not server.host.is_dead:
             host = server.host.network.host
-            listening = {a: accept for a, accept in away.items() if a.host == host}
+            listening = {a: accept for a, accept in closed.items() if a.host == host}
             system.network.listeners.update(listening)
 
 
 @fault("held requests")
 async def held_requests(system: System, rng: random.Random) -> None:
-    """Hold what callers send to an entry back, as a full buffer on the way does.
+    """Delay what callers send to an entry, as a full buffer on the path does.
 
-    A caller gives up and sends again elsewhere; its first send arrives later.
+    A caller times out and sends the request again to another entry; its first
+    attempt arrives after that.
     """
-    entry = any_node(system, rng).entry.network.host
+    entry = random_node(system, rng).entry.network.host
     pair = frozenset((CALLERS_HOST, entry))
     system.network.delays_s[pair] = rng.uniform(0.3, 4.0)
-    await hold(rng)
+    await sleep_fault_duration(rng)
     system.network.delays_s.pop(pair, None)
 
 
 @fault("engine")
 async def engine(system: System, rng: random.Random) -> None:
-    """Let an engine answer late, swap two answers, go silent or die in a stream."""
-    server = any_server(system, rng, plain=False)
+    """Make an engine respond late, swap two responses, hang or die in a stream."""
+    server = random_server(system, rng, plain=False)
     if server is None:
         return
     kind = rng.choice(["swap", "late", "silent", "die"])
@@ -310,7 +318,7 @@
         server.standin.faults.swap = True
     elif kind == "late":
         server.standin.faults.late_s = rng.uniform(0.5, 5.0)
-        await hold(rng)
+        await sleep_fault_duration(rng)
         server.standin.faults.late_s = 0.0
     elif kind == "silent":
         server.standin.host.silence()
--- a/src/rosemaryknot/replay/fault_run.py
+++ b/src/rosemaryknot/replay/fault_run.py
@@ -1,4 +1,4 @@
-"""One seeded run of the whole system under faults, and its audit."""
+"""Seeded run of the whole system under injected faults, followed by an audit."""
 
 import random
 from collections import Counter
@@ -13,13 +13,13 @@
 from rosemaryknot.replay.audit import (
     Violation,
     audit_booking,
-    audit_leaving,
+    audit_draining,
     audit_model,
 )
+from rosemaryknot.replay.caller_records import BookingRecord, ModelRecord
 from rosemaryknot.replay.callers import BookingPlan, Caller
 from rosemaryknot.replay.fault_kinds import BOOKING_FAULTS, FAULTS
-from rosemaryknot.replay.notes import BookingNote, ModelNote
-from rosemaryknot.replay.owner_faults import OWNER_END, OWNER_FAULTS
+from rosemaryknot.replay.owner_faults import KILL_OWNER, OWNER_FAULTS
 from rosemaryknot.replay.server_faults import RECLAIM_FAULTS
 from rosemaryknot.replay.system import System, SystemPlan
 from rosemaryknot.replay.virtual_time import run_in_virtual_time
@@ -31,18 +31,23 @@
 __all__ = ["FaultReport", "run_seed"]
 
 ZONES = ["waco-a", "waco-b", "temple-c"]
-MODEL, SHARDS, OBJECTS = "kit-assistant", "dispatch-app", "visit-notify"
+MODEL_SERVICE, SHARDS_SERVICE, OBJECTS_SERVICE = (
+    "kit-assistant",
+    "dispatch-app",
+    "visit-notify",
+)
 CUSTOMERS = ["estimator-1", "estimator-2"]
 WARM_UP_S, ACTIVE_S, SETTLE_S = 3.0, 15.0, 25.0
-# A successor takes copies for whole only where no holder has started lately.
+# The successor of an owner accepts the replicas of its claims as complete only if
+# none of the replica holders has restarted recently.
 OWNER_WARM_UP_S = 65.0
 BOOKINGS, MANY_BOOKINGS, MODEL_REQUESTS, MANY_MODEL_REQUESTS = 14, 60, 6, 20
-ANSWERS, LONG_ANSWERS = (16, 400), (100, 600)
-FAULT_COUNT, FEW_FAULTS = (2, 6), (0, 1)
+ANSWER_TOKENS_RANGE, LONG_ANSWER_TOKENS_RANGE = (16, 400), (100, 600)
+FAULT_COUNT_RANGE, OWNER_FAULT_COUNT_RANGE = (2, 6), (0, 1)
 PLAIN_TIMEOUT_S = 5.0
 ALL_PROFILE, RECLAIM_PROFILE, BOOKING_PROFILE = "all", "reclaims", "bookings"
 OWNER_PROFILE = "owners"
-ALWAYS_NEAR_BOOKINGS = ["held requests", "held requests", "service away"]
+FIXED_BOOKING_FAULTS = ["held requests", "held requests", "service away"]
 PROFILES = (
     *(3 * (ALL_PROFILE, RECLAIM_PROFILE, BOOKING_PROFILE)),
     *(ALL_PROFILE, RECLAIM_PROFILE, OWNER_PROFILE),
@@ -52,24 +57,26 @@
 
 @dataclass(slots=True)
 class FaultReport:
-    """What one run came to.
+    """Result of one run.
 
     Attributes
     ----------
     seed : int
-        Seed of the run. By threes: all faults; reclaims and faults of backend
-        servers, with the instance list ten seconds late; many bookings and faults
-        near them, in every fourth of these an owner's end.
+        Seed of the run. It selects the profile, in turn: all faults; reclaims and
+        faults of backend servers, with an instance list that lags by ten seconds;
+        many bookings and the faults that affect them. In every fourth run of the
+        last profile a shard owner is killed.
     faults : collections.Counter
-        Faults by kind.
+        Number of injected faults by name.
     outcomes : collections.Counter
-        Final outcomes by kind of request.
+        Number of final outcomes by kind of request.
     violations : list of Violation
-        Broken promises.
+        Violated guarantees.
     lost_unannounced : int
-        Accepted model requests lost by deaths without notice.
+        Number of accepted model requests that were lost because the entry was
+        killed without notice.
     recomputed_tokens : int
-        By the engines' ledgers.
+        Tokens that engines prefilled or generated again, from their ledgers.
     """
 
     seed: int
@@ -81,9 +88,9 @@
 
 
 def new_document(keys: dict[str, dict[str, str]]) -> dict:
-    """Return the configuration of a run."""
+    """Return the configuration document of a run."""
     services = {
-        MODEL: {
+        MODEL_SERVICE: {
             "kind": "model",
             "step_time_ms": 20,
             "max_tokens": 2048,
@@ -92,7 +99,7 @@
             "moves_kv": True,
         }
     }
-    for name, form in ((SHARDS, "shards"), (OBJECTS, "objects")):
+    for name, form in ((SHARDS_SERVICE, "shards"), (OBJECTS_SERVICE, "objects")):
         services[name] = {
             "kind": "plain",
             "timeout_s": PLAIN_TIMEOUT_S,
@@ -104,14 +111,14 @@
 
 
 class FaultRun:
-    """One run while it lasts.
+    """Run in progress.
 
     Parameters
     ----------
     seed : int
-        Decides everything that is random.
+        Seed of all random choices.
     safeguards : Safeguards
-        All on, but to prove what one prevents.
+        All enabled, except to show what one of them prevents.
     """
 
     def __init__(self, seed: int, safeguards: Safeguards) -> None:
@@ -119,13 +126,13 @@
         self.rng = random.Random(seed)
         self.profile = PROFILES[seed % len(PROFILES)]
         self.safeguards = safeguards
-        self.bookings: list[BookingNote] = []
-        self.models: list[ModelNote] = []
+        self.bookings: list[BookingRecord] = []
+        self.models: list[ModelRecord] = []
         self.api_keys: list[str] = []
         self.system: System | None = None
 
     def new_plan(self) -> SystemPlan:
-        """Return what the run starts with."""
+        """Return the initial state and parameters of the system."""
         keys = {}
         for customer in CUSTOMERS:
             api_key, entry = new_key(customer)
@@ -135,8 +142,12 @@
             new_document(keys),
             ZONES,
             nodes_per_zone=1 + self.rng.randint(0, 1),
-            servers={MODEL: 1, SHARDS: 1, OBJECTS: 1},
-            kinds={MODEL: "model", SHARDS: "plain", OBJECTS: "plain"},
+            servers={MODEL_SERVICE: 1, SHARDS_SERVICE: 1, OBJECTS_SERVICE: 1},
+            kinds={
+                MODEL_SERVICE: "model",
+                SHARDS_SERVICE: "plain",
+                OBJECTS_SERVICE: "plain",
+            },
             safeguards=self.safeguards,
             seed=self.report.seed,
         )
@@ -144,7 +155,7 @@
         return plan
 
     async def run(self) -> None:
-        """Run the system, its callers and its faults; then audit."""
+        """Run the system with its callers and faults, then audit the run."""
         async with trio.open_nursery() as nursery:
             self.system = System(self.new_plan(), nursery)
             await self.system.start()
@@ -155,27 +166,29 @@
             async with http_client(self.system.callers, None) as client:
                 with trio.move_on_after(ACTIVE_S + SETTLE_S):
                     async with trio.open_nursery() as work:
-                        self.start_work(work, client)
+                        self.start_callers(work, client)
                         self.start_faults(work)
             self.audit()
             self.system.dispose()
             nursery.cancel_scope.cancel()
 
-    def start_work(self, nursery: trio.Nursery, client: httpx.AsyncClient) -> None:
+    def start_callers(self, nursery: trio.Nursery, client: httpx.AsyncClient) -> None:
         """Start the callers of the run's profile."""
         if self.profile in (BOOKING_PROFILE, OWNER_PROFILE):
             self.start_bookings(nursery, client, MANY_BOOKINGS)
             return
         self.start_bookings(nursery, client, BOOKINGS)
         if self.profile == RECLAIM_PROFILE:
-            self.start_models(nursery, client, MANY_MODEL_REQUESTS, LONG_ANSWERS)
+            self.start_models(
+                nursery, client, MANY_MODEL_REQUESTS, LONG_ANSWER_TOKENS_RANGE
+            )
         else:
-            self.start_models(nursery, client, MODEL_REQUESTS, ANSWERS)
+            self.start_models(nursery, client, MODEL_REQUESTS, ANSWER_TOKENS_RANGE)
 
     def start_bookings(
         self, nursery: trio.Nursery, client: httpx.AsyncClient, count: int
     ) -> None:
-        """Start callers that book, each in its own manner, at random times."""
+        """Start callers that send bookings, with random retry plans and start times."""
         for number in range(count):
             plan = BookingPlan(
                 declares=self.rng.random() < 0.5,
@@ -183,11 +196,11 @@
                 timeout_s=self.rng.uniform(0.2, 6.0),
                 overlap_s=self.rng.choice([0.0, 0.0, self.rng.uniform(0.01, 1.0)]),
             )
-            service = self.rng.choice([SHARDS, SHARDS, OBJECTS])
-            note = BookingNote(f"booking-{number}", service, plan.declares)
-            self.bookings.append(note)
+            service = self.rng.choice([SHARDS_SERVICE, SHARDS_SERVICE, OBJECTS_SERVICE])
+            record = BookingRecord(f"booking-{number}", service, plan.declares)
+            self.bookings.append(record)
             caller = self.new_caller(client)
-            nursery.start_soon(self.later, caller.book, note, plan)
+            nursery.start_soon(self.run_delayed, caller.book, record, plan)
 
     def start_models(
         self,
@@ -196,89 +209,95 @@
         count: int,
         tokens: tuple[int, int],
     ) -> None:
-        """Start callers that ask the model, at random times."""
+        """Start callers that send model requests, at random times."""
         for number in range(count):
-            note = ModelNote(
+            record = ModelRecord(
                 f"plan set {self.report.seed} {number}", self.rng.randint(*tokens)
             )
-            self.models.append(note)
+            self.models.append(record)
             caller = self.new_caller(client)
-            nursery.start_soon(self.later, caller.ask, note, MODEL, ACTIVE_S + SETTLE_S)
+            nursery.start_soon(
+                self.run_delayed, caller.ask, record, MODEL_SERVICE, ACTIVE_S + SETTLE_S
+            )
 
     def new_caller(self, client: httpx.AsyncClient) -> Caller:
-        """Return a caller with random numbers of its own."""
+        """Create a caller with its own random number generator."""
         entries = [str(n.settings.listen.callers) for n in self.system.nodes.values()]
         rng = random.Random(self.rng.random())
         return Caller(client, self.rng.choice(self.api_keys), entries, rng)
 
-    async def later(self, function, *args) -> None:
-        """Run a caller after a random wait."""
+    async def run_delayed(self, function, *args) -> None:
+        """Run a caller after a random delay."""
         await trio.sleep(random.Random(str(args[0])).uniform(0.0, ACTIVE_S))
         await function(*args)
 
     def start_faults(self, nursery: trio.Nursery) -> None:
-        """Start the run's faults at random times."""
-        names = sorted(set(FAULTS) - {OWNER_END})
-        chosen, bounds = [], FAULT_COUNT
+        """Start the faults of the run's profile at random times."""
+        names = sorted(set(FAULTS) - {KILL_OWNER})
+        chosen, bounds = [], FAULT_COUNT_RANGE
         if self.profile == BOOKING_PROFILE:
-            names, chosen = BOOKING_FAULTS, ALWAYS_NEAR_BOOKINGS
+            names, chosen = BOOKING_FAULTS, FIXED_BOOKING_FAULTS
         elif self.profile == RECLAIM_PROFILE:
             names = RECLAIM_FAULTS
         elif self.profile == OWNER_PROFILE:
-            names, chosen, bounds = BOOKING_FAULTS, OWNER_FAULTS, FEW_FAULTS
+            names, chosen, bounds = (
+                BOOKING_FAULTS,
+                OWNER_FAULTS,
+                OWNER_FAULT_COUNT_RANGE,
+            )
         count = self.rng.randint(*bounds)
         for name in [*chosen, *(self.rng.choice(names) for _ in range(count))]:
             self.report.faults[name] += 1
             rng = random.Random(self.rng.random())
-            nursery.start_soon(self.one_fault, name, rng)
+            nursery.start_soon(self.inject_fault, name, rng)
 
-    async def one_fault(self, name: str, rng: random.Random) -> None:
-        """Run a fault after a random wait."""
+    async def inject_fault(self, name: str, rng: random.Random) -> None:
+        """Inject a fault after a random delay."""
         await trio.sleep(rng.uniform(0.0, ACTIVE_S))
         await FAULTS[name](self.system, rng)
 
-    # After the run
+    # Audit
 
-    def runs_of(self, note: BookingNote) -> list[Run]:
-        """Return the runs with a note's key on all servers."""
+    def runs_of(self, record: BookingRecord) -> list[Run]:
+        """Return the executions of a booking on all servers of its service."""
         return [
             run
             for server in self.system.servers.values()
             if isinstance(server.standin, PlainStandIn)
-            and server.listed.service == note.service
+            and server.listed.service == record.service
             for run in server.standin.runs
-            if run.key == note.key
+            if run.key == record.key
         ]
 
-    def is_excused(self, note: ModelNote) -> bool:
-        """Tell whether the entry that accepted a request died without notice."""
-        return note.entry in self.system.unannounced
+    def is_loss_allowed(self, record: ModelRecord) -> bool:
+        """Return whether the accepting entry was killed without notice."""
+        return record.entry in self.system.killed_entries
 
     def audit(self) -> None:
-        """Compare notes and ledgers."""
+        """Compare the records of the callers with the ledgers of the servers."""
         report = self.report
-        for note in self.bookings:
-            report.violations += audit_booking(note, self.runs_of(note))
-            last = note.replies[-1].outcome if note.replies else "none"
+        for record in self.bookings:
+            report.violations += audit_booking(record, self.runs_of(record))
+            last = record.replies[-1].outcome if record.replies else "none"
             report.outcomes[f"booking {last}"] += 1
-        for note in self.models:
-            report.violations += audit_model(note, self.is_excused)
-            report.outcomes[f"model {note.outcome}"] += 1
-            is_lost = bool(note.id) and note.outcome != "answered"
-            report.lost_unannounced += is_lost and self.is_excused(note)
+        for record in self.models:
+            report.violations += audit_model(record, self.is_loss_allowed)
+            report.outcomes[f"model {record.outcome}"] += 1
+            is_lost = bool(record.id) and record.outcome != "answered"
+            report.lost_unannounced += is_lost and self.is_loss_allowed(record)
         if self.profile == RECLAIM_PROFILE:
             report.violations += self.audit_servers()
         report.recomputed_tokens = recomputed_tokens(self.generations())
 
     def audit_servers(self) -> list[Violation]:
-        """Return the new work that leaving servers were given."""
+        """Return violations for new work that was sent to draining servers."""
         found = []
         noticed = self.system.platform.cloud.noticed_unix_s
         for instance, notice_unix_s in noticed.items():
             server = self.system.servers.get(instance)
             if server is not None:
-                started = work_started(server.standin)
-                found += audit_leaving(instance, notice_unix_s, started)
+                started = first_work_times(server.standin)
+                found += audit_draining(instance, notice_unix_s, started)
         return found
 
     def generations(self) -> Iterable:
@@ -288,8 +307,8 @@
                 yield from server.standin.batch.ledger
 
 
-def work_started(standin: EngineStandIn | PlainStandIn) -> dict[str, float]:
-    """Return when each request's first work began at a server, by request id."""
+def first_work_times(standin: EngineStandIn | PlainStandIn) -> dict[str, float]:
+    """Return the time at which a server first worked on each request, by id."""
     if isinstance(standin, PlainStandIn):
         return {run.id: run.time_unix_s for run in reversed(standin.runs)}
     ledger = reversed(standin.batch.ledger)
@@ -297,19 +316,19 @@
 
 
 def run_seed(seed: int, safeguards: Safeguards | None = None) -> FaultReport:
-    """Run one seed in virtual time.
+    """Run the system with one seed in virtual time.
 
     Parameters
     ----------
     seed : int
-        Decides everything that is random.
+        Seed of all random choices.
     safeguards : Safeguards, optional
-        By default all on.
+        All enabled by default.
 
     Returns
     -------
     report : FaultReport
-        What happened, with the broken promises.
+        Faults, outcomes and violated guarantees.
     """
     run = FaultRun(seed, safeguards or Safeguards())
     run_in_virtual_time(seed, run.run)
--- a/src/rosemaryknot/replay/faults_command.py
+++ b/src/rosemaryknot/replay/faults_command.py
@@ -1,4 +1,4 @@
-"""The command ``rosemaryknot-replay faults``: seeded runs under faults."""
+"""Command ``rosemaryknot-replay faults``: seeded runs with injected faults."""
 
 import json
 import sys
@@ -16,19 +16,19 @@
 
 __all__ = ["FaultSummary", "run_faults", "safeguards_without"]
 
-SHOWN_VIOLATIONS = 5
+MAX_SHOWN_VIOLATIONS = 5
 
 
 @dataclass(slots=True)
 class FaultSummary:
-    """What many runs came to.
+    """Totals over several runs.
 
     Attributes
     ----------
     runs, violations, lost_unannounced, recomputed_tokens : int
-        Sums over the runs.
+        Totals over the runs.
     faults, violations_by_kind, outcomes : collections.Counter
-        Sums by kind.
+        Totals by name of fault, kind of violation and outcome.
     first_bad_seed : int or None
         Lowest seed with a violation.
     """
@@ -43,7 +43,7 @@
     recomputed_tokens: int = 0
 
     def add(self, report: FaultReport) -> None:
-        """Add one run."""
+        """Add the report of one run."""
         self.runs += 1
         self.faults.update(report.faults)
         self.outcomes.update(report.outcomes)
@@ -61,20 +61,23 @@
 
 
 def safeguards_without(names: str) -> Safeguards:
-    """Return safeguards with those of a comma-separated list off."""
+    """Return safeguards with those of a comma-separated list disabled."""
     safeguards = Safeguards()
     known = [f.name for f in fields(Safeguards)]
     for name in filter(None, names.split(",")):
         if name not in known:
             known_names = ", ".join(known)
-            fail(f"no such safeguard; there are {known_names}", ExitCode.BAD_USAGE)
+            fail(
+                f"unknown safeguard; known safeguards: {known_names}",
+                ExitCode.BAD_USAGE,
+            )
         setattr(safeguards, name, False)
     return safeguards
 
 
 def print_violations(report: FaultReport) -> None:
-    """Print what a run broke."""
-    for violation in report.violations[:SHOWN_VIOLATIONS]:
+    """Print the first violations of a run to standard error."""
+    for violation in report.violations[:MAX_SHOWN_VIOLATIONS]:
         typer.echo(
             f"seed {report.seed}: {violation.kind} {violation.subject}: "
             f"{violation.detail}",
@@ -83,19 +86,19 @@
 
 
 def run_faults(
-    seeds: Annotated[int, typer.Option(min=1, help="How many seeds to run.")] = 20,
+    seeds: Annotated[int, typer.Option(min=1, help="Number of seeds to run.")] = 20,
     first: Annotated[int, typer.Option(min=0, help="The first seed.")] = 0,
     seed: Annotated[
-        int | None, typer.Option(help="Run this seed alone, with its decision log.")
+        int | None, typer.Option(help="Run only this seed, and print its decision log.")
     ] = None,
     without: Annotated[
-        str, typer.Option(help="Safeguards to turn off, comma-separated.")
+        str, typer.Option(help="Safeguards to disable, comma-separated.")
     ] = "",
     until_bad: Annotated[
-        bool, typer.Option(help="Stop at the first broken promise.")
+        bool, typer.Option(help="Stop after the first run with a violation.")
     ] = False,
 ) -> None:
-    """Run the whole system in virtual time under seeded faults, and audit each run."""
+    """Run the whole system in virtual time with seeded faults and audit each run."""
     safeguards = safeguards_without(without)
     configure_logs("text", "error" if seed is None else "info")
     chosen = range(first, first + seeds) if seed is None else [seed]
--- a/src/rosemaryknot/replay/hosts.py
+++ b/src/rosemaryknot/replay/hosts.py
@@ -1,10 +1,10 @@
-"""Hosts of one run: processes that can be frozen, thawed and killed as a whole.
+"""Simulated hosts, whose tasks can be frozen, thawed and killed together.
 
-A process that the operating system stops does nothing at all: no timer fires, no
-cleanup runs, and what has arrived meanwhile is all there at once when it goes on.
-Cancelling tasks cannot show that, since cancellation runs `finally` blocks. Here
-each task of a host is wrapped so that it takes no step while its host is frozen;
-a kill is a freeze for good together with the reset of the host's connections.
+In a process that the operating system has stopped, no timer fires and no cleanup
+runs, and all data that arrived meanwhile is available when it continues. Cancelling
+tasks does not simulate this, because cancellation runs `finally` blocks. Therefore
+each task of a host is wrapped so that it makes no step while its host is frozen. A
+kill is a permanent freeze together with a reset of the host's connections.
 """
 
 import types
@@ -22,7 +22,7 @@
 
 
 class Host:
-    """Everything that runs at one IP number.
+    """Set of all tasks that run at one IP address.
 
     Parameters
     ----------
@@ -32,7 +32,7 @@
     Attributes
     ----------
     is_frozen, is_dead : bool
-        Whether its tasks stand still, and whether for good.
+        Whether its tasks are suspended, and whether permanently.
     """
 
     def __init__(self, network: MemoryNetwork) -> None:
@@ -43,14 +43,14 @@
         self.scope = trio.CancelScope()
 
     async def run(self, function: Callable[..., Awaitable[Any]], *args: Any) -> None:
-        """Run a process on this host until it ends or the run is over.
+        """Run a process on this host until it returns or the host is disposed of.
 
         Parameters
         ----------
         function : callable
-            The process's async main function.
+            Async main function of the process.
         *args
-            Its arguments.
+            Arguments of the function.
         """
         token = CURRENT_HOST.set(self)
         try:
@@ -62,34 +62,34 @@
             CURRENT_HOST.reset(token)
 
     def freeze(self) -> None:
-        """Let no task of the host take a step."""
+        """Suspend all tasks of the host."""
         self.is_frozen = True
 
     def thaw(self) -> None:
-        """Let the tasks go on from where they stood, unless the host is dead."""
+        """Resume the tasks from where they were suspended, unless the host is dead."""
         if not self.is_dead:
-            self.release()
+            self.resume_tasks()
 
-    def release(self) -> None:
-        """Reschedule the tasks that wait."""
+    def resume_tasks(self) -> None:
+        """Reschedule the suspended tasks."""
         self.is_frozen = False
         waiting, self.waiting = self.waiting, []
         for task in waiting:
             trio.lowlevel.reschedule(task)
 
     def kill(self) -> None:
-        """End the host without any cleanup; its connections are reset."""
+        """Stop the host without any cleanup and reset its connections."""
         self.is_dead = True
         self.is_frozen = True
         self.network.kill_host(self.network.host)
 
     def dispose(self) -> None:
-        """Let the tasks of the host end; for the end of a run."""
+        """Cancel the tasks of the host; called at the end of a run."""
         self.scope.cancel()
-        self.release()
+        self.resume_tasks()
 
     async def wait_thawed(self) -> None:
-        """Park the current task until the host goes on."""
+        """Suspend the current task until the host is thawed or disposed of."""
         self.waiting.append(trio.lowlevel.current_task())
 
         def refuse_cancel(raise_cancel: Callable) -> trio.lowlevel.Abort:
@@ -99,8 +99,8 @@
 
 
 @types.coroutine
-def steps(coroutine: Coroutine, host: Host) -> Any:
-    """Drive a coroutine, taking no step while its host is frozen."""
+def drive_while_thawed(coroutine: Coroutine, host: Host) -> Any:
+    """Drive a coroutine, making no step while its host is frozen."""
     value = None
     while True:
         while host.is_frozen:
@@ -113,15 +113,18 @@
 
 
 async def freezable(coroutine: Coroutine, host: Host) -> Any:
-    """Return what `steps` returns; trio wants tasks to be native coroutines."""
-    return await steps(coroutine, host)
+    """Wrap `drive_while_thawed` in a native coroutine, as trio requires."""
+    return await drive_while_thawed(coroutine, host)
 
 
 class HostInstrument(trio.abc.Instrument):
-    """Makes the tasks of hosts freezable; pass it to `trio.run`."""
+    """Trio instrument that makes the tasks of hosts freezable.
+
+    Pass it to `trio.run`.
+    """
 
     def task_spawned(self, task: trio.lowlevel.Task) -> None:
-        """Wrap the new task's coroutine when the task belongs to a host."""
+        """Wrap the coroutine of a new task that belongs to a host."""
         host = task.context.get(CURRENT_HOST)
         if host is not None:
             task.coro = freezable(task.coro, host)
--- a/src/rosemaryknot/replay/main.py
+++ b/src/rosemaryknot/replay/main.py
@@ -1,4 +1,4 @@
-"""The command ``rosemaryknot-replay``: experiments in virtual time."""
+"""Command ``rosemaryknot-replay``: simulations in virtual time."""
 
 from rosemaryknot.process.command_line import VersionOption, new_application
 from rosemaryknot.replay.faults_command import run_faults
@@ -13,15 +13,15 @@
 __all__ = ["app", "main"]
 
 app = new_application(
-    "Run the whole system in virtual time, over stand-ins, under scripted or seeded "
-    "faults.",
+    "Run the whole system in virtual time with simulated backends, under scripted or "
+    "seeded faults.",
     no_args_is_help=True,
 )
 
 
 @app.callback()
 def options(version: VersionOption = False) -> None:
-    """Run the whole system in virtual time, over stand-ins."""
+    """Run the whole system in virtual time with simulated backends."""
 
 
 app.command("run")(run_files)
--- a/src/rosemaryknot/replay/platform_command.py
+++ b/src/rosemaryknot/replay/platform_command.py
@@ -1,4 +1,4 @@
-"""``rosemaryknot-replay platform``: nodes on the users' platform, in virtual time."""
+"""Command ``rosemaryknot-replay platform``: simulates nodes on the users' platform."""
 
 from pathlib import Path
 from typing import Annotated
@@ -19,14 +19,14 @@
 
 PlayFile = Annotated[
     Path | None,
-    typer.Argument(metavar="[FILE]", help="Load and faults, JSON; drawn where none."),
+    typer.Argument(metavar="[FILE]", help="Load and faults, JSON; random if omitted."),
 ]
-Seed = Annotated[int, typer.Option(help="First seed of draws and jitter.")]
-Seeds = Annotated[int, typer.Option(help="How many seeds are played.")]
+Seed = Annotated[int, typer.Option(help="First seed of the random choices and jitter.")]
+Seeds = Annotated[int, typer.Option(help="Number of seeds to run.")]
 
 
-def chosen_play(file: Path | None, seed: int) -> Play:
-    """Return the play of a file, or one drawn by the seed."""
+def get_play(file: Path | None, seed: int) -> Play:
+    """Return the play of a file, or a random one from the seed."""
     if file is None:
         return random_play(seed)
     try:
@@ -36,18 +36,18 @@
 
 
 def run_platform(file: PlayFile = None, seed: Seed = 1, seeds: Seeds = 1) -> None:
-    """Play a load and faults against nodes, and check what callers and servers see.
+    """Run a load with faults against nodes in virtual time and check the results.
 
-    Prints a line for each seed: a promise that was not kept is named with the first
-    request that shows it. Exit code 1 where there is one.
+    Prints a line for each seed, and one for each violated guarantee with the first
+    request that shows it. Exit code 1 if a guarantee was violated.
     """
     violations = 0
     for number in range(seed, seed + seeds):
-        play = chosen_play(file, number)
+        play = get_play(file, number)
         result: PlayResult = run_in_virtual_time(number, run_play, play, number)
         violations += len(result.violations)
         typer.echo(f"seed {number} {result.to_json()}")
         for violation in result.violations:
-            typer.echo(f"  {violation.promise}: {violation.detail}")
+            typer.echo(f"  {violation.invariant}: {violation.detail}")
     if violations:
         raise typer.Exit(ExitCode.FAILED)
--- a/src/rosemaryknot/replay/run_command.py
+++ b/src/rosemaryknot/replay/run_command.py
@@ -1,4 +1,4 @@
-"""The command ``rosemaryknot-replay run``: scenario files against their outcomes."""
+"""Command ``rosemaryknot-replay run``: runs scenario files, checks expectations."""
 
 import json
 import sys
@@ -22,7 +22,7 @@
 
 
 def read_scenario(path: Path) -> Scenario:
-    """Return the scenario of a file, or end the program with what is wrong."""
+    """Return the scenario of a file, or exit with an error message."""
     try:
         return parse_scenario(path.read_text())
     except OSError as error:
@@ -51,7 +51,7 @@
 
 
 def print_failures(path: Path, report: ScenarioReport) -> None:
-    """Print each stated outcome that did not hold, and what was seen."""
+    """Print each expectation that did not hold and what was observed."""
     for verdict in report.verdicts:
         if not verdict.held:
             stated = verdict.expectation
@@ -80,7 +80,7 @@
 def run_files(
     files: Annotated[list[Path], typer.Argument(help="Scenario files.")],
     seed: Annotated[
-        int | None, typer.Option(help="Seed, in place of the one in the file.")
+        int | None, typer.Option(help="Seed that replaces the one in the file.")
     ] = None,
     json_lines: Annotated[
         bool, typer.Option("--json", help="Print a line of JSON for each file.")
@@ -89,12 +89,12 @@
         bool, typer.Option(help="Print the decision log, in virtual time.")
     ] = False,
     without: Annotated[
-        str, typer.Option(help="Turn one safeguard off, to see what it prevents.")
+        str, typer.Option(help="Safeguards to disable, comma-separated.")
     ] = "",
 ) -> None:
-    """Run scenarios in virtual time and check what they state.
+    """Run scenarios in virtual time and check their expected outcomes.
 
-    Exit code 1 where a stated outcome did not hold, 2 for a file that is no scenario.
+    Exit code 1 if an expectation did not hold, 2 if a file is not a valid scenario.
     """
     scenarios = [(path, read_scenario(path)) for path in files]
     safeguards = safeguards_without(without)
--- a/src/rosemaryknot/replay/scenario.py
+++ b/src/rosemaryknot/replay/scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario says, as plain values."""
+"""Data model of parsed scenarios."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -18,7 +18,7 @@
     "Target",
 ]
 
-STEP_S = 0.004
+DEFAULT_STEP_TIME_S = 0.004
 SERVICES = {
     "kit-assistant": "model",
     "brief-writer": "model",
@@ -29,16 +29,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestKind:
-    """What callers send under one word of the language.
+    """Kind of request, as named by a word of the scenario language.
 
     Attributes
     ----------
     service : str
-        Service that it goes to.
+        Service to which it is sent.
     tokens : int
-        Most tokens of the answer; 0 for a plain service.
+        Maximum number of tokens of the response; 0 for a plain service.
     words : int
-        Words of the prompt; 0 for a plain service.
+        Number of words of the prompt; 0 for a plain service.
     path : str
         Path of an idempotent read; empty for other kinds.
     """
@@ -50,7 +50,7 @@
 
     @property
     def is_model(self) -> bool:
-        """Whether it goes to a model."""
+        """Whether it is sent to a model service."""
         return self.tokens > 0
 
 
@@ -68,22 +68,22 @@
 
 @dataclass(slots=True)
 class ServerGroup:
-    """Backend servers that a zone, or each zone, starts with.
+    """Initial backend servers of one zone or of each zone.
 
     Attributes
     ----------
     service : str
-        Service.
+        Name of the service.
     count : int
-        Servers in each zone.
+        Number of servers in each zone.
     form : str
         Form of at-most-once execution of a plain service: ``shards`` or ``objects``.
     zone : str
-        The only zone; empty for each.
+        Zone of the servers; empty for each zone.
     machine_class : str
         Machine class.
     reclaimable : bool
-        Whether the cloud may take them back.
+        Whether the cloud may reclaim them.
     """
 
     service: str
@@ -94,42 +94,43 @@
     reclaimable: bool = True
 
 
-def new_engine() -> EngineSettings:
-    """Return what engines are like where a scenario says nothing of them."""
-    return EngineSettings(step_time_s=STEP_S)
+def default_engine_settings() -> EngineSettings:
+    """Return the default engine settings of scenarios."""
+    return EngineSettings(step_time_s=DEFAULT_STEP_TIME_S)
 
 
 @dataclass(slots=True)
 class RequestStep:
-    """One request of a caller.
+    """Request of a caller.
 
     Attributes
     ----------
     customer : str
-        Who sends it.
+        Customer that sends it.
     kind : str
         A key of `KINDS`.
     name : str
-        Name in the scenario; also the idempotency key.
+        Name in the scenario, which is also the idempotency key.
     tokens, words : int
-        Most tokens of the answer, words of the prompt.
+        Maximum number of tokens of the response, and number of words of the prompt.
     place : str
-        Zone or node whose entries it goes to; empty for any.
+        Zone or node to whose entries it is sent; empty for any.
     sends : int
-        How often it is sent at most.
+        Maximum number of sends.
     timeout_s : float
-        After how long a send is given up.
+        Timeout of each send.
     repeat_s : float
-        After how long it is sent again without waiting for a reply; 0 to wait.
+        Interval after which it is sent again without waiting for a reply; 0 to
+        wait.
     declares : bool
-        Whether it declares attempt numbers.
+        Whether the caller declares attempt numbers.
     prefix : str
-        What the prompt begins with, by a name; empty for a prompt of its own.
+        Name of the shared prefix of the prompt; empty if it shares none.
     prefix_words : int
-        Words of that beginning.
+        Number of words of the shared prefix.
     attempt : int
-        Number of this one send of a traced booking or alert; 0 where the caller
-        itself repeats.
+        Attempt number of a single send of a traced booking or alert; 0 if the
+        caller itself retries.
     """
 
     customer: str
@@ -149,7 +150,7 @@
 
 @dataclass(slots=True)
 class Target:
-    """What a fault hits.
+    """Target of a fault.
 
     Attributes
     ----------
@@ -157,7 +158,7 @@
         ``zone``, ``node``, ``entry``, ``agent``, ``server``, ``platform`` or
         ``everything``.
     name : Token or str
-        Zone, node or service.
+        Name of the zone, node or service.
     zone : Token or str
         Zone of a server.
     """
@@ -169,18 +170,18 @@
 
 @dataclass(slots=True)
 class Step:
-    """Something that happens at a time.
+    """Action at a given time.
 
     Attributes
     ----------
     at_s : float
-        When, in seconds from the start of the scenario.
+        Time in seconds from the start of the scenario.
     action : str
         Name in the registry of actions.
     arguments : dict
-        Its arguments.
+        Arguments of the action.
     line : int
-        Where the scenario says so.
+        Line of the scenario.
     """
 
     at_s: float
@@ -191,20 +192,20 @@
 
 @dataclass(slots=True)
 class Expectation:
-    """An outcome that a scenario states.
+    """Expected outcome that is stated in a scenario.
 
     Attributes
     ----------
     at_s : float or None
-        When it must hold; None for the end.
+        Time at which it must hold; None for the end.
     check : str
         Name in the registry of checks.
     arguments : dict
-        Its arguments.
+        Arguments of the check.
     line : int
-        Where the scenario says so.
+        Line of the scenario.
     text : str
-        The statement as written.
+        Statement as written in the scenario.
     """
 
     at_s: float | None
@@ -216,16 +217,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Placement:
-    """Backend servers that placement keeps in a zone.
+    """Backend servers that placement maintains in a zone.
 
     Attributes
     ----------
     service, zone : str
-        Of which service, where.
+        Service and zone of the servers.
     count : int
-        How many.
+        Target number of servers.
     classes : tuple of str
-        Machine classes, the first choice first.
+        Machine classes in order of preference.
     """
 
     service: str
@@ -236,39 +237,39 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """A whole scenario.
+    """Complete scenario.
 
     Attributes
     ----------
     title : str
-        What it shows.
+        Description of what it demonstrates.
     seed : int
-        Seed of every random choice.
+        Seed of all random choices.
     zones : list of str
         Availability zones.
     delay_s : float
-        One-way delay between them, in seconds.
+        One-way network delay between zones, in seconds.
     engine : EngineSettings
-        What the engines are like.
+        Settings of the engine stand-ins.
     prices : dict of tuple of (str, str, bool) to float
-        Price of an hour by zone, machine class and reclaimable.
+        Price per hour by zone, machine class and whether it is reclaimable.
     nodes_per_zone : int
-        Entry instances of each zone.
+        Number of nodes in each zone.
     servers : list of ServerGroup
-        Backend servers of each zone.
+        Initial backend servers.
     placements : list of Placement
-        What placement keeps.
+        Backend servers that placement maintains.
     steps : list of Step
-        What happens.
+        Actions at given times.
     expectations : list of Expectation
-        What must come of it.
+        Expected outcomes.
     """
 
     title: str = ""
     seed: int = 0
     zones: list[str] = field(default_factory=list)
     delay_s: float = 0.0005
-    engine: EngineSettings = field(default_factory=new_engine)
+    engine: EngineSettings = field(default_factory=default_engine_settings)
     prices: dict[tuple[str, str, bool], float] = field(default_factory=dict)
     nodes_per_zone: int = 1
     servers: list[ServerGroup] = field(default_factory=list)
@@ -278,12 +279,12 @@
 
     @property
     def requests(self) -> list[RequestStep]:
-        """The callers' requests in the order of their statements."""
+        """Requests of the callers, in the order of their statements."""
         return [s.arguments["request"] for s in self.steps if s.action == "send"]
 
     @property
     def end_s(self) -> float:
-        """When the scenario ends: a second after all that it names."""
+        """End of the scenario: one second after its last stated time."""
         times = [step.at_s for step in self.steps]
         times += [e.at_s for e in self.expectations if e.at_s is not None]
         return max(times, default=0.0) + 1.0
--- a/src/rosemaryknot/replay/scenario_actions.py
+++ b/src/rosemaryknot/replay/scenario_actions.py
@@ -1,4 +1,4 @@
-"""What the steps of a scenario do, in a registry that decorators fill."""
+"""Registry of the actions of scenario steps, filled by decorators."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
@@ -9,7 +9,7 @@
 from rosemaryknot.replay.fault_kinds import live_servers
 from rosemaryknot.replay.hosts import Host
 from rosemaryknot.replay.scenario import RequestStep, Target
-from rosemaryknot.replay.system import PLATFORM, ServerProcess, System
+from rosemaryknot.replay.system import PLATFORM_ADDRESS, ServerProcess, System
 from rosemaryknot.standin.plain import PlainFault
 from rosemaryknot.standin.platform_faults import OUTAGE_REFUSE, OUTAGE_SILENT
 from rosemaryknot.values.nodes import ServerState
@@ -24,7 +24,7 @@
 ACTIONS: dict[str, Action] = {}
 
 PATCH_TIMEOUT_S = 8.0
-LATE_ANSWER_S = 4.0
+RESPONSE_DELAY_S = 4.0
 PLAIN_FAULTS = {
     "lose answers of": "lose_answer",
     "answer late": "late",
@@ -35,35 +35,35 @@
 
 
 def action(name: str) -> Callable[[Action], Action]:
-    """Register an action under the name that the language gives it."""
+    """Register an action under its name in the scenario language."""
 
     def register(function: Action) -> Action:
         if name in ACTIONS:
-            raise ValueError(f"action {name!r} is taken")
+            raise ValueError(f"action {name!r} is already registered")
         ACTIONS[name] = function
         return function
 
     return register
 
 
-def server_of(system: System, target: Target) -> ServerProcess:
-    """Return the first live server of a service in a zone.
+def find_server(system: System, target: Target) -> ServerProcess:
+    """Return the first running server of a service in a zone.
 
     Raises
     ------
     LookupError
-        If none lives there any more.
+        If no server of the service is running there.
     """
     for server in live_servers(system):
         if (server.listed.service, server.listed.zone) == (target.name, target.zone):
             return server
-    raise LookupError(f"no live {target.name} in {target.zone}")
+    raise LookupError(f"no running server of {target.name} in {target.zone}")
 
 
-def host_of(system: System, target: Target) -> Host:
-    """Return the host that a fault hits."""
+def find_host(system: System, target: Target) -> Host:
+    """Return the host that a fault affects."""
     if target.kind == "server":
-        return server_of(system, target).host
+        return find_server(system, target).host
     if target.kind == "platform":
         return system.platform_host
     node = system.nodes[target.name]
@@ -84,13 +84,13 @@
 
 @action("reclaim")
 async def reclaim(run: "ScenarioRun", target: Target, notice_s: float) -> None:
-    """Send reclaim notices: for one instance, or for a zone's backend servers."""
+    """Send reclaim notices to one instance or to all backend servers of a zone."""
     system = run.system
     if target.kind == "zone":
         live = live_servers(system)
         names = [s.listed.instance for s in live if s.listed.zone == target.name]
     elif target.kind == "server":
-        names = [server_of(system, target).listed.instance]
+        names = [find_server(system, target).listed.instance]
     else:
         names = [str(target.name)]
     for name in names:
@@ -100,11 +100,11 @@
 
 @action("cut")
 async def cut(run: "ScenarioRun", target: Target, far: Target) -> None:
-    """Partition a zone from the platform, another zone, or both."""
+    """Partition a zone from the platform, from another zone or from everything."""
     if far.kind == "everything":
-        run.system.cut_zone(target.name)
+        run.system.partition_zone(target.name)
         return
-    hosts = [PLATFORM.host]
+    hosts = [PLATFORM_ADDRESS.host]
     if far.kind == "zone":
         hosts = run.system.hosts_of_zone(far.name)
     for near in run.system.hosts_of_zone(target.name):
@@ -120,28 +120,31 @@
 
 @action("kill")
 async def kill(run: "ScenarioRun", target: Target) -> None:
-    """Kill a process without notice; an instance is confirmed as terminated."""
+    """Kill a process without notice.
+
+    The platform marks the instance of a killed server or node as terminated.
+    """
     system = run.system
     if target.kind == "server":
-        server = server_of(system, target)
+        server = find_server(system, target)
         server.host.kill()
         system.platform.cloud.terminate(server.listed.instance)
         return
     node = system.nodes[target.name]
     if target.kind in ("node", "entry"):
-        system.unannounced.add(str(node.settings.listen.callers))
+        system.killed_entries.add(str(node.settings.listen.callers))
     if target.kind == "node":
         system.kill_node(target.name)
     else:
-        host_of(system, target).kill()
+        find_host(system, target).kill()
 
 
 @action("restart")
 async def restart(run: "ScenarioRun", target: Target) -> None:
-    """Start an entry or agent again at its address, killing it if it lives."""
+    """Restart an entry or agent at its address, killing it if it is running."""
     if target.kind == "entry":
         node = run.system.nodes[target.name]
-        run.system.unannounced.add(str(node.settings.listen.callers))
+        run.system.killed_entries.add(str(node.settings.listen.callers))
         run.system.restart_entry(target.name)
     else:
         run.system.restart_agent(target.name)
@@ -149,8 +152,8 @@
 
 @action("freeze")
 async def freeze(run: "ScenarioRun", target: Target, lasts_s: float) -> None:
-    """Pause a process as a whole, and let it go on."""
-    host = host_of(run.system, target)
+    """Freeze all tasks of a process for a time."""
+    host = find_host(run.system, target)
     host.freeze()
     await trio.sleep(lasts_s)
     host.thaw()
@@ -158,8 +161,8 @@
 
 @action("silence")
 async def silence(run: "ScenarioRun", target: Target) -> None:
-    """Silence the open connections of a process for good; new ones work."""
-    near = host_of(run.system, target).network.host
+    """Make open connections of a process permanently silent; new ones work."""
+    near = find_host(run.system, target).network.host
     streams = run.system.network.streams
     for far in sorted({s.far for s in streams if s.near == near}):
         run.system.network.silence(near, far)
@@ -167,22 +170,22 @@
 
 @action("swap")
 async def swap(run: "ScenarioRun", target: Target) -> None:
-    """Let an engine give two running answers to each other's streams."""
-    server_of(run.system, target).standin.apply_faults({"swap": True})
+    """Make an engine swap two running responses between their streams."""
+    find_server(run.system, target).standin.apply_faults({"swap": True})
 
 
 @action("plain_fault")
 async def plain_fault(
     run: "ScenarioRun", target: Target, fault: str, count: int
 ) -> None:
-    """Let the next calls of a plain service go wrong."""
-    planned = PlainFault(PLAIN_FAULTS[fault], count, late_s=LATE_ANSWER_S)
-    server_of(run.system, target).standin.faults.append(planned)
+    """Make the next calls of a plain service fail."""
+    planned = PlainFault(PLAIN_FAULTS[fault], count, late_s=RESPONSE_DELAY_S)
+    find_server(run.system, target).standin.faults.append(planned)
 
 
 @action("outage")
 async def outage(run: "ScenarioRun", form: str, lasts_s: float) -> None:
-    """Take the platform away for a while."""
+    """Make the platform unavailable for a time."""
     faults = run.system.platform.faults
     faults.outage = OUTAGE_REFUSE if form == "refusing" else OUTAGE_SILENT
     await trio.sleep(lasts_s)
@@ -191,7 +194,7 @@
 
 @action("slow")
 async def slow(run: "ScenarioRun", delay_s: float, lasts_s: float) -> None:
-    """Let the platform answer late for a while; writes take effect at once."""
+    """Delay responses of the platform for a time; writes take effect immediately."""
     faults = run.system.platform.faults
     faults.slow_s = delay_s
     await trio.sleep(lasts_s)
@@ -200,7 +203,7 @@
 
 @action("lose")
 async def lose(run: "ScenarioRun", count: int) -> None:
-    """Lose the answers of the next writes, which take effect."""
+    """Drop the responses of the next writes, which still take effect."""
     run.system.platform.faults.lose_answers += count
 
 
@@ -208,7 +211,7 @@
 async def refuse_starts(
     run: "ScenarioRun", target: Target, machine_class: str, lasts_s: float
 ) -> None:
-    """Let the cloud refuse starts of a machine class in a zone for a while."""
+    """Make the cloud refuse to start a machine class in a zone for a time."""
     refused = run.system.platform.faults.refused_starts
     refused.add((str(target.name), machine_class))
     await trio.sleep(lasts_s)
@@ -217,13 +220,13 @@
 
 @action("stale")
 async def stale(run: "ScenarioRun", number: int) -> None:
-    """Let the store hold an older configuration, as a restored backup does."""
+    """Roll the store back to an older configuration, as restoring a backup does."""
     objects = run.system.platform.kinds["configuration"]
     for stored in objects.history["main"]:
         if stored.value["number"] == number:
             objects.rollback("main", stored.version)
             return
-    raise LookupError(f"configuration {number} was never stored")
+    raise LookupError(f"configuration {number} is not in the history of the store")
 
 
 @action("patch")
@@ -236,7 +239,11 @@
     name: str,
     node: str | None,
 ) -> None:
-    """Submit a patch as an operator does: read the number, then send the change."""
+    """Submit a patch as an operator does.
+
+    Read the active configuration number unless ``base`` gives one, then send the
+    change.
+    """
     live = [
         n
         for n in sorted(run.system.nodes)
--- a/src/rosemaryknot/replay/scenario_checks.py
+++ b/src/rosemaryknot/replay/scenario_checks.py
@@ -1,7 +1,7 @@
-"""Outcomes that a scenario may state, in a registry that decorators fill.
+"""Registry of the checks of scenario expectations, filled by decorators.
 
-A check looks at the running system and returns what it saw where the statement does
-not hold, and an empty text where it does.
+A check inspects the running system. It returns a description of what it found if the
+expectation does not hold, and an empty string if it does.
 """
 
 import operator
@@ -23,16 +23,16 @@
 Check = Callable[..., str]
 
 CHECKS: dict[str, Check] = {}
-COMPARES = {"<=": operator.le, ">=": operator.ge, "=": operator.eq}
-SHOWN = 3
+COMPARISONS = {"<=": operator.le, ">=": operator.ge, "=": operator.eq}
+MAX_SHOWN_ITEMS = 3
 
 
 def check(name: str) -> Callable[[Check], Check]:
-    """Register a check under the name that the language gives it."""
+    """Register a check under its name in the scenario language."""
 
     def register(function: Check) -> Check:
         if name in CHECKS:
-            raise ValueError(f"check {name!r} is taken")
+            raise ValueError(f"check {name!r} is already registered")
         CHECKS[name] = function
         return function
 
@@ -40,18 +40,22 @@
 
 
 def seen(texts: list[str]) -> str:
-    """Return the first few of what was seen."""
-    more = f" and {len(texts) - SHOWN} more" if len(texts) > SHOWN else ""
-    return "; ".join(texts[:SHOWN]) + more
+    """Join the first few descriptions and the number of the others."""
+    more = (
+        f" and {len(texts) - MAX_SHOWN_ITEMS} more"
+        if len(texts) > MAX_SHOWN_ITEMS
+        else ""
+    )
+    return "; ".join(texts[:MAX_SHOWN_ITEMS]) + more
 
 
-def compared(value: float, compare: str, bound: float) -> str:
-    """Return the value where it does not keep to its bound."""
-    return "" if COMPARES[compare](value, bound) else f"{value:g}"
+def describe_if_violated(value: float, compare: str, bound: float) -> str:
+    """Return the value as text if it violates its bound, else an empty string."""
+    return "" if COMPARISONS[compare](value, bound) else f"{value:g}"
 
 
-def records_of(run: "ScenarioRun", subject: Target) -> list[Record]:
-    """Return the requests that a statement speaks of."""
+def find_records(run: "ScenarioRun", subject: Target) -> list[Record]:
+    """Return the records of the requests that an expectation refers to."""
     records = run.requests.records
     if subject.kind == "every":
         return [r for r in records.values() if r.request.kind == subject.name]
@@ -59,7 +63,7 @@
 
 
 def has_result(run: "ScenarioRun", record: Record, results: list[str]) -> bool:
-    """Tell whether a request has one of the results."""
+    """Return whether a request has one of the results."""
     if record.outcome in results:
         return True
     is_answered = record.outcome == "answered" and "answered whole" in results
@@ -68,11 +72,11 @@
 
 @check("outcome")
 def outcome(run: "ScenarioRun", subject: Target, results: list[str]) -> str:
-    """Check that requests, or a patch, have one of the results."""
+    """Check that each of the requests, or a patch, has one of the results."""
     if subject.name in run.patches:
         found = run.patches[subject.name]
         return "" if found in results else f"{subject.name} is {found}"
-    records = records_of(run, subject)
+    records = find_records(run, subject)
     if not records:
         return f"{subject.name} was not sent"
     return seen(
@@ -86,21 +90,21 @@
 
 @check("exactly_one")
 def exactly_one(run: "ScenarioRun", names: list[str], results: list[str]) -> str:
-    """Check that exactly one of several has one of the results."""
+    """Check that exactly one of several requests has one of the results."""
     found = [n for n in names if not outcome(run, Target("one", n), results)]
     return "" if len(found) == 1 else f"{len(found)} are: {', '.join(found)}"
 
 
 @check("in_force")
 def in_force(run: "ScenarioRun", number: int) -> str:
-    """Check that every process that lives has this configuration in force."""
-    numbers = run.numbers()
-    return seen([f"{p} has {n}" for p, n in numbers.items() if n != number])
+    """Check that this configuration is active in every running process."""
+    active_numbers = run.active_numbers()
+    return seen([f"{p} has {n}" for p, n in active_numbers.items() if n != number])
 
 
 @check("live")
 def live(run: "ScenarioRun", subject: Target, count: int) -> str:
-    """Check how many servers of a service live in a zone."""
+    """Check how many servers of a service are running in a zone."""
     found = [
         server
         for server in live_servers(run.system)
@@ -111,31 +115,35 @@
 
 @check("reverted")
 def reverted(run: "ScenarioRun") -> str:
-    """Check that no process took an older configuration back."""
+    """Check that no process went back to an older configuration."""
     return seen(run.reverted)
 
 
 @check("recomputed")
 def recomputed(run: "ScenarioRun", compare: str, bound: float) -> str:
-    """Check the tokens that engines computed again."""
-    return compared(recomputed_tokens(run.requests.generations()), compare, bound)
+    """Check the number of tokens that engines recomputed."""
+    return describe_if_violated(
+        recomputed_tokens(run.requests.generations()), compare, bound
+    )
 
 
 @check("runs")
 def runs(run: "ScenarioRun", subject: Target, compare: str, bound: float) -> str:
-    """Check how often each request ran."""
+    """Check how often each request was executed."""
     counts = {
         r.request.name: len(run.requests.runs_of(r.note))
-        for r in records_of(run, subject)
+        for r in find_records(run, subject)
     }
     if not counts:
         return f"{subject.name} was not sent"
-    wrong = {n: c for n, c in counts.items() if not COMPARES[compare](c, bound)}
+    wrong = {n: c for n, c in counts.items() if not COMPARISONS[compare](c, bound)}
     return seen([f"{name} ran {count} times" for name, count in wrong.items()])
 
 
-def violations_of(run: "ScenarioRun", kinds: tuple[str, ...], of: str = "") -> str:
-    """Return the violations of some kinds, of all requests or of one kind."""
+def describe_violations(
+    run: "ScenarioRun", kinds: tuple[str, ...], of: str = ""
+) -> str:
+    """Describe the violations of given kinds, for all requests or for one kind."""
     return seen(
         [
             f"{v.subject} {v.kind}: {v.detail}"
@@ -149,19 +157,19 @@
 
 @check("crossed")
 def crossed(run: "ScenarioRun") -> str:
-    """Check that every caller got text of its own answer only."""
-    return violations_of(run, ("crossed", "mixed", "short"))
+    """Check that every caller received only the response to its own request."""
+    return describe_violations(run, ("crossed", "mixed", "short"))
 
 
 @check("untrue")
 def untrue(run: "ScenarioRun", kind: str) -> str:
-    """Check that what was refused did not run."""
-    return violations_of(run, ("false_not_run",), kind)
+    """Check that no refused request of a kind was executed."""
+    return describe_violations(run, ("false_not_run",), kind)
 
 
 @check("lost")
 def lost(run: "ScenarioRun") -> str:
-    """Check that each accepted model request is answered, whoever died."""
+    """Check that every accepted model request is answered, whatever failed."""
     return seen(
         [
             f"{r.request.name} is {r.outcome}"
@@ -175,11 +183,11 @@
 def first_token(
     run: "ScenarioRun", subject: Target, percent: int, compare: str, bound: float
 ) -> str:
-    """Check the time to the first token of a share of the requests."""
-    records = records_of(run, subject)
+    """Check the time to the first token for a percentage of the requests."""
+    records = find_records(run, subject)
     if not records:
         return f"{subject.name} was not sent"
-    wrong = [r for r in records if not COMPARES[compare](r.first_token_s, bound)]
+    wrong = [r for r in records if not COMPARISONS[compare](r.first_token_s, bound)]
     if 100 * (len(records) - len(wrong)) >= percent * len(records):
         return ""
     return seen([f"{r.request.name} took {r.first_token_s:.3f} s" for r in wrong])
@@ -189,28 +197,28 @@
 def between_tokens(
     run: "ScenarioRun", subject: Target, percent: int, compare: str, bound: float
 ) -> str:
-    """Check a share of the times between tokens, over all answers together."""
-    gaps_s = [gap for r in records_of(run, subject) for gap in r.gaps_s]
+    """Check a percentage of the times between tokens, over all responses."""
+    gaps_s = [gap for r in find_records(run, subject) for gap in r.gaps_s]
     if not gaps_s:
         return f"{subject.name} has no tokens"
-    right = sum(COMPARES[compare](gap, bound) for gap in gaps_s)
+    right = sum(COMPARISONS[compare](gap, bound) for gap in gaps_s)
     share_percent = 100 * right / len(gaps_s)
     return "" if share_percent >= percent else f"{share_percent:.1f} percent are"
 
 
 @check("share")
 def share(run: "ScenarioRun", subject: Target, compare: str, bound: float) -> str:
-    """Check the share of requests that is answered."""
-    records = records_of(run, subject)
+    """Check the share of requests that are answered."""
+    records = find_records(run, subject)
     if not records:
         return f"{subject.name} was not sent"
     done = sum(r.outcome == "answered" for r in records)
-    return compared(done / len(records), compare, bound)
+    return describe_if_violated(done / len(records), compare, bound)
 
 
 @check("late_work")
 def late_work(run: "ScenarioRun", after_s: float) -> str:
-    """Check that a server got no new work some time after its notice."""
+    """Check that no server started new work some time after its notice."""
     late = []
     for instance, notice_s in run.notices_s.items():
         server = run.system.servers.get(instance)
--- a/src/rosemaryknot/replay/scenario_errors.py
+++ b/src/rosemaryknot/replay/scenario_errors.py
@@ -1,21 +1,21 @@
-"""Errors of a scenario's text."""
+"""Errors in the text of a scenario."""
 
 from lark import Token
 
-__all__ = ["ScenarioError", "wrong_value"]
+__all__ = ["ScenarioError", "invalid_value_error"]
 
 
 class ScenarioError(ValueError):
-    """A text that is no scenario.
+    """Syntax error or invalid value in the text of a scenario.
 
     Parameters
     ----------
     line, column : int
-        Where, from 1.
+        Position of the error, counted from 1.
     found : str
-        What stands there.
+        Text found at this position.
     expected : str
-        What may stand there.
+        Description of what is allowed there.
     """
 
     def __init__(self, line: int, column: int, found: str, expected: str) -> None:
@@ -28,6 +28,6 @@
         self.expected = expected
 
 
-def wrong_value(token: Token, expected: str) -> ScenarioError:
-    """Return the error of a word that fits the grammar and nothing else."""
+def invalid_value_error(token: Token, expected: str) -> ScenarioError:
+    """Create the error for a token that is syntactically valid but not allowed."""
     return ScenarioError(token.line, token.column, f'"{token}"', expected)
--- a/src/rosemaryknot/replay/scenario_grammar.py
+++ b/src/rosemaryknot/replay/scenario_grammar.py
@@ -1,4 +1,7 @@
-"""Grammar of the scenario language, one statement a line; see docs/SCENARIOS.md."""
+"""Grammar of the scenario language, with one statement per line.
+
+The language is documented in docs/SCENARIOS.md.
+"""
 
 __all__ = ["DESCRIPTIONS", "GRAMMAR"]
 
--- a/src/rosemaryknot/replay/scenario_names.py
+++ b/src/rosemaryknot/replay/scenario_names.py
@@ -1,17 +1,17 @@
-"""Checks that a scenario is whole and that every name in it is borne by something."""
+"""Checks that a scenario is complete and that all names in it are defined."""
 
 from collections.abc import Iterator
 
 from lark import Token
 
 from rosemaryknot.replay.scenario import KINDS, Scenario, Target
-from rosemaryknot.replay.scenario_errors import ScenarioError, wrong_value
+from rosemaryknot.replay.scenario_errors import ScenarioError, invalid_value_error
 
-__all__ = ["check_names", "check_requests", "check_whole"]
+__all__ = ["check_names", "check_requests", "check_complete"]
 
 
-def tokens_of(scenario: Scenario) -> Iterator[tuple[str, Token]]:
-    """Return the names that must be known, each with what it names."""
+def names_to_check(scenario: Scenario) -> Iterator[tuple[str, Token]]:
+    """Return the names that must be defined, each with the kind of its referent."""
     for group in scenario.servers:
         if group.zone:
             yield "zone", group.zone
@@ -26,19 +26,19 @@
             yield "node", step.arguments["node"]
         for target in (step.arguments.get("target"), step.arguments.get("far")):
             if target is not None:
-                yield from tokens_of_target(target)
+                yield from names_of_target(target)
     for expectation in scenario.expectations:
         subject = expectation.arguments.get("subject")
         if subject is not None and subject.kind == "server":
-            yield from tokens_of_target(subject)
+            yield from names_of_target(subject)
         if subject is not None and subject.kind == "one":
             yield "request", subject.name
         for name in expectation.arguments.get("names", ()):
             yield "request", name
 
 
-def tokens_of_target(target: Target) -> Iterator[tuple[str, Token]]:
-    """Return the names in a target."""
+def names_of_target(target: Target) -> Iterator[tuple[str, Token]]:
+    """Return the names in a target, each with the kind of its referent."""
     if target.kind == "zone":
         yield "zone", target.name
     elif target.kind in ("node", "entry", "agent"):
@@ -48,8 +48,8 @@
         yield "zone", target.zone
 
 
-def check_whole(scenario: Scenario) -> None:
-    """Refuse a scenario without what every one needs."""
+def check_complete(scenario: Scenario) -> None:
+    """Raise `ScenarioError` if the title or the zones are missing."""
     needed = {"scenario": scenario.title, "zones": scenario.zones}
     for word, value in needed.items():
         if not value:
@@ -57,7 +57,7 @@
 
 
 def check_requests(scenario: Scenario) -> None:
-    """Refuse two of one name, and requests that no server is there for."""
+    """Reject duplicate names, and requests to a service without servers."""
     services = {group.service for group in scenario.servers}
     names = set()
     for step in scenario.steps:
@@ -82,7 +82,7 @@
 
 
 def check_names(scenario: Scenario) -> None:
-    """Refuse names that nothing bears."""
+    """Raise `ScenarioError` for a name that is not defined."""
     zones = set(scenario.zones)
     indices = range(1, scenario.nodes_per_zone + 1)
     nodes = {f"{zone}-{index}" for zone in zones for index in indices}
@@ -95,7 +95,7 @@
         "service": {group.service for group in scenario.servers},
         "request": requests | patches,
     }
-    for kind, token in tokens_of(scenario):
+    for kind, token in names_to_check(scenario):
         if token not in known[kind]:
             names = ", ".join(sorted(known[kind])) or "none was stated"
-            raise wrong_value(token, f"a {kind} of this scenario ({names})")
+            raise invalid_value_error(token, f"a {kind} of this scenario ({names})")
