--- a/src/rosemaryknot/replay/scenario_reader.py
+++ b/src/rosemaryknot/replay/scenario_reader.py
@@ -1,4 +1,4 @@
-"""Turns the parsed tree of a scenario into its values."""
+"""Conversion of the parse tree of a scenario into a `Scenario`."""
 
 import json
 from collections.abc import Callable
@@ -18,7 +18,7 @@
     Step,
     Target,
 )
-from rosemaryknot.replay.scenario_errors import wrong_value
+from rosemaryknot.replay.scenario_errors import invalid_value_error
 from rosemaryknot.standin.prefix_cache import BLOCK_TOKENS
 
 __all__ = ["MODEL_TIMEOUT_S", "Reader"]
@@ -26,12 +26,12 @@
 MODEL_TIMEOUT_S = 60.0
 
 
-def seconds(token: Token) -> float:
-    """Return a time in seconds.
+def parse_seconds(token: Token) -> float:
+    """Convert a time token to seconds.
 
     Examples
     --------
-    >>> seconds("20ms"), seconds("1.5s")
+    >>> parse_seconds("20ms"), parse_seconds("1.5s")
     (0.02, 1.5)
     """
     if token.endswith("ms"):
@@ -40,65 +40,65 @@
 
 
 def number(token: Token) -> int | float:
-    """Return a number, whole where it is written so."""
+    """Convert a number token to an integer, or to a float if it has a point."""
     return float(token) if "." in token else int(token)
 
 
 @v_args(inline=True)
 class Reader(Transformer):
-    """Turns the tree of a scenario into values, from the leaves up."""
+    """Transformer that converts a parse tree into a `Scenario`, from the leaves up."""
 
     def __init__(self) -> None:
         super().__init__()
         self.scenario = Scenario()
 
-    # The system
+    # System
 
     def title(self, text: Token) -> None:
-        """Take the title."""
+        """Set the title."""
         self.scenario.title = text[1:-1]
 
     def seed(self, value: Token) -> None:
-        """Take the seed."""
+        """Set the seed."""
         self.scenario.seed = int(value)
 
     def zones(self, *words: Token | None) -> None:
-        """Take the zones and their delay."""
+        """Set the zones and the delay between them."""
         *names, delay = words
         self.scenario.zones = [str(name) for name in names]
         if delay is not None:
-            self.scenario.delay_s = seconds(delay)
+            self.scenario.delay_s = parse_seconds(delay)
 
     def engines(self, step: Token, slots: Token | None, cache: Token | None) -> None:
-        """Take what the engines are like."""
+        """Set the settings of the engines."""
         engine = self.scenario.engine
-        engine.step_time_s = seconds(step)
+        engine.step_time_s = parse_seconds(step)
         if slots is not None:
             engine.slots = int(slots)
         if cache is not None:
             engine.cache_blocks = max(1, int(cache) // BLOCK_TOKENS)
 
     def entries(self, count: Token) -> None:
-        """Take the number of nodes."""
+        """Set the number of nodes per zone."""
         self.scenario.nodes_per_zone = int(count)
 
     def servers(
         self, service: Token, count: Token, zone: str, *options: tuple[str, Any]
     ) -> None:
-        """Take a group of backend servers."""
+        """Add a group of backend servers."""
         if service not in SERVICES:
-            raise wrong_value(service, f"a service ({', '.join(SERVICES)})")
+            raise invalid_value_error(service, f"a service ({', '.join(SERVICES)})")
         group = ServerGroup(str(service), int(count), zone=zone)
         for field, value in options:
             setattr(group, field, value)
         self.scenario.servers.append(group)
 
     def each_zone(self) -> str:
-        """Return that servers are in each zone."""
+        """Return the empty zone, which means that each zone has the servers."""
         return ""
 
     def in_zone(self, zone: Token) -> Token:
-        """Return the zone of servers."""
+        """Return the only zone that has the servers."""
         return zone
 
     def by_form(self, form: Token) -> tuple[str, Any]:
@@ -110,20 +110,20 @@
         return "machine_class", str(machine_class)
 
     def on_demand(self) -> tuple[str, Any]:
-        """Return that the cloud takes nothing back."""
+        """Return that the cloud cannot reclaim the servers."""
         return "reclaimable", False
 
     def price(
         self, machine_class: Token, zone: Token, value: Token, on_demand: Token | None
     ) -> None:
-        """Take a price of an hour."""
+        """Set a price per hour."""
         key = (str(zone), str(machine_class), on_demand is None)
         self.scenario.prices[key] = float(value)
 
     def keep(
         self, service: Token, count: Token, zone: Token, classes: list[str] | None
     ) -> None:
-        """Take what placement keeps."""
+        """Add the servers that placement maintains in a zone."""
         placement = Placement(service, zone, int(count), tuple(classes or ["g1"]))
         self.scenario.placements.append(placement)
 
@@ -131,23 +131,23 @@
         """Return machine classes."""
         return [str(name) for name in names]
 
-    # What happens
+    # Steps
 
     def timed(self, at: Token, step: tuple[str, dict]) -> None:
-        """Take what happens at a time."""
+        """Add a step at a given time."""
         action, arguments = step
-        self.scenario.steps.append(Step(seconds(at), action, arguments, at.line))
+        self.scenario.steps.append(Step(parse_seconds(at), action, arguments, at.line))
 
     def repeated(self, start: Token, end: Token, gap: Token, step: tuple) -> None:
-        """Take a request that is sent again and again under numbered names."""
+        """Add requests at regular intervals, with numbered names."""
         request: RequestStep = step[1]["request"]
-        gap_s = seconds(gap)
+        gap_s = parse_seconds(gap)
         if not gap_s:
-            raise wrong_value(gap, "a time above zero")
-        count = int((seconds(end) - seconds(start)) / gap_s) + 1
+            raise invalid_value_error(gap, "a time above zero")
+        count = int((parse_seconds(end) - parse_seconds(start)) / gap_s) + 1
         for index in range(count):
             one = replace(request, name=f"{request.name}-{index + 1}")
-            at_s = seconds(start) + index * gap_s
+            at_s = parse_seconds(start) + index * gap_s
             self.scenario.steps.append(Step(at_s, "send", {"request": one}, start.line))
 
     def request(
@@ -175,27 +175,27 @@
         return "send", {"request": request}
 
     def size(self, tokens: Token, words: Token | None) -> tuple[int, int]:
-        """Return the tokens of an answer and the words of its prompt."""
+        """Return the response tokens and the prompt words of a request."""
         return int(tokens), int(words or 0)
 
     def to_place(self, place: Token) -> tuple[str, Any]:
-        """Return the place that a request goes to."""
+        """Return the zone or node to which a request is sent."""
         return "place", place
 
     def giving_up(self, after: Token) -> tuple[str, Any]:
-        """Return how long a send is waited for."""
-        return "timeout_s", seconds(after)
+        """Return the timeout of each send."""
+        return "timeout_s", parse_seconds(after)
 
     def trying(self, sends: Token) -> tuple[str, Any]:
-        """Return how often a request is sent."""
+        """Return the maximum number of sends."""
         return "sends", int(sends)
 
     def repeating(self, gap: Token) -> tuple[str, Any]:
-        """Return the time between sends that do not wait."""
-        return "repeat_s", seconds(gap)
+        """Return the interval between sends that do not wait for replies."""
+        return "repeat_s", parse_seconds(gap)
 
     def undeclared(self) -> tuple[str, Any]:
-        """Return that no attempt numbers are declared."""
+        """Return that the caller declares no attempt numbers."""
         return "declares", False
 
     def patch(
@@ -218,7 +218,7 @@
         }
 
     def base(self, value: Token | None) -> int | None:
-        """Return the version that a patch starts from."""
+        """Return the configuration number on which a patch is based."""
         return None if value is None else int(value)
 
     def start_server(self, service: Token, zone: Token) -> tuple[str, dict]:
@@ -226,36 +226,36 @@
         return "start_server", {"target": Target("server", service, zone)}
 
     def reclaim(self, target: Target, notice: Token) -> tuple[str, dict]:
-        """Return a reclaim."""
-        return "reclaim", {"target": target, "notice_s": seconds(notice)}
+        """Return the reclaim of a zone, node or server."""
+        return "reclaim", {"target": target, "notice_s": parse_seconds(notice)}
 
     def cut(self, zone: Token, other: Target | Token) -> tuple[str, dict]:
-        """Return a partition."""
+        """Return a network partition."""
         far = other if isinstance(other, Target) else Target("zone", other)
         return "cut", {"target": Target("zone", zone), "far": far}
 
     def heal(self, zone: Token) -> tuple[str, dict]:
-        """Return the end of a partition."""
+        """Return the end of a network partition."""
         return "heal", {"target": Target("zone", zone)}
 
     def kill(self, target: Target) -> tuple[str, dict]:
-        """Return a death without notice."""
+        """Return a kill without notice."""
         return "kill", {"target": target}
 
     def restart(self, target: Target) -> tuple[str, dict]:
-        """Return a start at the same address."""
+        """Return a restart at the same address."""
         return "restart", {"target": target}
 
     def freeze(self, target: Target, lasts: Token) -> tuple[str, dict]:
-        """Return a pause."""
-        return "freeze", {"target": target, "lasts_s": seconds(lasts)}
+        """Return a freeze of a process."""
+        return "freeze", {"target": target, "lasts_s": parse_seconds(lasts)}
 
     def silence(self, target: Target) -> tuple[str, dict]:
-        """Return the silence of open connections."""
+        """Return the silencing of the open connections of a process."""
         return "silence", {"target": target}
 
     def swap(self, target: Target) -> tuple[str, dict]:
-        """Return a crossing of answers."""
+        """Return a swap of two responses of an engine."""
         return "swap", {"target": target}
 
     def plain_fault(self, target: Target, fault: Token, count: Token) -> tuple:
@@ -265,140 +265,143 @@
 
     def outage(self, form: Token, lasts: Token) -> tuple[str, dict]:
         """Return an outage of the platform."""
-        return "outage", {"form": str(form), "lasts_s": seconds(lasts)}
+        return "outage", {"form": str(form), "lasts_s": parse_seconds(lasts)}
 
     def slow(self, delay: Token, lasts: Token) -> tuple[str, dict]:
-        """Return a slow platform."""
-        return "slow", {"delay_s": seconds(delay), "lasts_s": seconds(lasts)}
+        """Return a delay of the responses of the platform."""
+        return "slow", {
+            "delay_s": parse_seconds(delay),
+            "lasts_s": parse_seconds(lasts),
+        }
 
     def lose(self, count: Token) -> tuple[str, dict]:
-        """Return lost answers of the platform."""
+        """Return a loss of responses of the platform."""
         return "lose", {"count": int(count)}
 
     def stale(self, base: Token) -> tuple[str, dict]:
-        """Return a restored backup of the configuration."""
+        """Return a rollback of the stored configuration."""
         return "stale", {"number": int(base)}
 
     def refuse_starts(
         self, machine_class: Token, zone: Token, lasts: Token
     ) -> tuple[str, dict]:
-        """Return a time in which the cloud starts nothing of a class in a zone."""
+        """Return a period in which the cloud starts no machine of a class in a zone."""
         return "refuse_starts", {
             "target": Target("zone", zone),
             "machine_class": str(machine_class),
-            "lasts_s": seconds(lasts),
+            "lasts_s": parse_seconds(lasts),
         }
 
     def server(self, service: Token, zone: Token) -> Target:
-        """Return a backend server."""
+        """Return a backend server as a target."""
         return Target("server", service, zone)
 
-    # What must come of it
+    # Expectations
 
     def by(self, at: Token, expectation: Expectation) -> None:
-        """Take an outcome that must hold at a time."""
-        expectation.at_s = seconds(at)
+        """Add an expectation that must hold at a given time."""
+        expectation.at_s = parse_seconds(at)
         expectation.line = at.line
         self.scenario.expectations.append(expectation)
 
     def expect(self, expectation: Expectation) -> None:
-        """Take an outcome that must hold at the end."""
+        """Add an expectation that must hold at the end."""
         self.scenario.expectations.append(expectation)
 
     def outcome(self, subject: Target, results: list[str]) -> Expectation:
-        """Return the stated outcome of requests."""
-        return stated("outcome", subject=subject, results=results)
+        """Return the expected results of requests or of a patch."""
+        return new_expectation("outcome", subject=subject, results=results)
 
     def exactly_one(self, *words: Any) -> Expectation:
-        """Return the stated outcome of one among several."""
+        """Return that exactly one of several requests has one of the results."""
         *names, results = words
-        return stated("exactly_one", names=names, results=results)
+        return new_expectation("exactly_one", names=names, results=results)
 
     def in_force(self, value: Token) -> Expectation:
-        """Return that a version is in force."""
-        return stated("in_force", number=int(value))
+        """Return that a configuration is active everywhere."""
+        return new_expectation("in_force", number=int(value))
 
     def live(self, service: Token, count: Token, zone: Token) -> Expectation:
-        """Return how many servers of a service live in a zone."""
+        """Return the number of running servers of a service in a zone."""
         subject = Target("server", service, zone)
-        return stated("live", subject=subject, count=int(count))
+        return new_expectation("live", subject=subject, count=int(count))
 
     def results(self, *results: Token) -> list[str]:
-        """Return the results that are allowed."""
+        """Return the allowed results."""
         return [str(result) for result in results]
 
     def recomputed(self, compare: Token, bound: Token) -> Expectation:
         """Return a bound on recomputed tokens."""
-        return stated("recomputed", compare=str(compare), bound=number(bound))
+        return new_expectation("recomputed", compare=str(compare), bound=number(bound))
 
     def runs(self, subject: Target, compare: Token, bound: Token) -> Expectation:
-        """Return a bound on the runs of a request."""
-        return stated(
+        """Return a bound on the number of executions of a request."""
+        return new_expectation(
             "runs", subject=subject, compare=str(compare), bound=number(bound)
         )
 
     def crossed(self) -> Expectation:
-        """Return that no answer is another request's."""
-        return stated("crossed")
+        """Return that no response belongs to another request."""
+        return new_expectation("crossed")
 
     def untrue(self, kind: Token) -> Expectation:
-        """Return that a refusal is true."""
-        return stated("untrue", kind=str(kind))
+        """Return that no refused request of a kind was executed."""
+        return new_expectation("untrue", kind=str(kind))
 
     def lost(self) -> Expectation:
-        """Return that what was accepted is answered."""
-        return stated("lost")
+        """Return that every accepted request is answered."""
+        return new_expectation("lost")
 
     def first_token(
         self, percent: int | None, subject: Target, compare: Token, bound: Token
     ) -> Expectation:
         """Return a bound on the time to the first token."""
-        return stated(
+        return new_expectation(
             "first_token",
             subject=subject,
             percent=percent or 100,
             compare=str(compare),
-            bound=seconds(bound),
+            bound=parse_seconds(bound),
         )
 
     def between_tokens(
         self, percent: int, subject: Target, compare: Token, bound: Token
     ) -> Expectation:
         """Return a bound on the time between tokens."""
-        return stated(
+        return new_expectation(
             "between_tokens",
             subject=subject,
             percent=percent,
             compare=str(compare),
-            bound=seconds(bound),
+            bound=parse_seconds(bound),
         )
 
     def share_of(self, percent: Token) -> int:
-        """Return the share that a bound speaks of, in percent."""
+        """Return the percentage to which a bound applies."""
         return int(percent)
 
     def share(self, subject: Target, compare: Token, bound: Token) -> Expectation:
-        """Return a bound on the share that is answered."""
-        return stated(
+        """Return a bound on the share of requests that are answered."""
+        return new_expectation(
             "share", subject=subject, compare=str(compare), bound=number(bound)
         )
 
     def late_work(self, after: Token) -> Expectation:
-        """Return that leaving servers get no new work."""
-        return stated("late_work", after_s=seconds(after))
+        """Return that draining servers start no new work."""
+        return new_expectation("late_work", after_s=parse_seconds(after))
 
     def reverted(self) -> Expectation:
-        """Return that no version gives way to an older one."""
-        return stated("reverted")
+        """Return that no process goes back to an older configuration."""
+        return new_expectation("reverted")
 
 
-def stated(check: str, **arguments: Any) -> Expectation:
-    """Return an expectation whose place is filled in later."""
+def new_expectation(check: str, **arguments: Any) -> Expectation:
+    """Create an expectation whose time, line and text are set later."""
     return Expectation(None, check, arguments, 0)
 
 
 def target_method(kind: str) -> Callable[..., Target]:
-    """Return the method of a rule that names a target."""
+    """Return a transformer method for a rule that names a target."""
 
     def method(self: Reader, name: Token | str = "") -> Target:
         return Target(kind, name)
--- a/src/rosemaryknot/replay/scenario_requests.py
+++ b/src/rosemaryknot/replay/scenario_requests.py
@@ -1,4 +1,4 @@
-"""The callers' requests of a scenario, what came of them, and the audit of each."""
+"""Requests of the callers of a scenario, their results and their audit."""
 
 import random
 from collections.abc import Iterator
@@ -9,8 +9,8 @@
 import trio
 
 from rosemaryknot.replay.audit import Violation, audit_booking, audit_model
-from rosemaryknot.replay.callers import BookingPlan, Caller, outcome_of
-from rosemaryknot.replay.notes import BookingNote, ModelNote, Reply
+from rosemaryknot.replay.caller_records import BookingRecord, ModelRecord, Reply
+from rosemaryknot.replay.callers import BookingPlan, Caller, parse_outcome
 from rosemaryknot.replay.scenario import KINDS, RequestStep
 from rosemaryknot.replay.system import System
 from rosemaryknot.standin.engine import EngineStandIn
@@ -20,25 +20,25 @@
 
 __all__ = ["Keys", "Record", "Requests"]
 
-PICKUP_TIME_S = 120.0
+PICKUP_TIMEOUT_S = 120.0
 
 
 class Keys:
-    """API keys of a scenario's callers and operators, equal for equal seeds.
+    """API keys of callers and operators of a scenario, equal for equal seeds.
 
     Parameters
     ----------
     customers, operators : list of str
-        Who needs one.
+        Names of customers and operators that need a key.
     seed : int
-        Makes the secrets. They guard nothing outside of the run.
+        Seed of the secrets, which are not used outside the run.
 
     Attributes
     ----------
     stored : dict
-        The ``keys`` of the configuration document.
+        Value of ``keys`` in the configuration document.
     by_customer, by_operator : dict of str to str
-        API keys by their owner.
+        API keys by customer and by operator.
     """
 
     def __init__(self, customers: list[str], operators: list[str], seed: int) -> None:
@@ -50,7 +50,7 @@
         }
 
     def new_key(self, **owner: str) -> str:
-        """Return a new key after storing what proves it."""
+        """Create a key and store its salt and digest."""
         key_id, secret = self.rng.randbytes(6).hex(), self.rng.randbytes(16).hex()
         salt = self.rng.randbytes(16)
         digest = key_digest(salt, secret)
@@ -60,30 +60,31 @@
 
 @dataclass(slots=True)
 class Record:
-    """One request and what its caller noted.
+    """Request and what its caller recorded.
 
     Attributes
     ----------
     request : RequestStep
-        What was asked.
-    note : ModelNote or BookingNote
-        What came back; an idempotent read has a `BookingNote` too.
+        Request as stated in the scenario.
+    note : ModelRecord or BookingRecord
+        Responses that the caller received; an idempotent read also has a
+        `BookingRecord`.
     sent_s : float
-        When it was first sent, in virtual seconds.
+        Time at which it was first sent, in virtual seconds.
     gaps_s : list of float
-        Times between the tokens of an answer, in seconds.
+        Times between the tokens of the response, in seconds.
     """
 
     request: RequestStep
-    note: ModelNote | BookingNote
+    note: ModelRecord | BookingRecord
     sent_s: float
     gaps_s: list[float] = field(default_factory=list)
 
     @property
     def outcome(self) -> str:
-        """Result as scenarios name it; ``open`` before one is known."""
+        """Result as named in scenarios; ``open`` until one is known."""
         note = self.note
-        if isinstance(note, ModelNote):
+        if isinstance(note, ModelRecord):
             return {"none": "open", "not_run": "refused"}.get(
                 note.outcome, note.outcome
             )
@@ -95,54 +96,54 @@
 
     @property
     def first_token_s(self) -> float:
-        """Time to the first token, in seconds; infinite before it."""
-        if not isinstance(self.note, ModelNote) or not self.note.first_token_s:
+        """Time to the first token, in seconds; infinite until it is received."""
+        if not isinstance(self.note, ModelRecord) or not self.note.first_token_s:
             return float("inf")
         return self.note.first_token_s - self.sent_s
 
 
 class TimedCaller(Caller):
-    """A caller that notes the time between tokens."""
+    """Caller that records the times between tokens."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.gaps_s: list[float] = []
         self.token_s = 0.0
 
-    def take_token(self, note: ModelNote, event: dict) -> None:
-        """Note one token and when it came."""
-        super().take_token(note, event)
+    def record_token(self, note: ModelRecord, event: dict) -> None:
+        """Record one token and the time since the previous one."""
+        super().record_token(note, event)
         now_s = trio.current_time()
         if self.token_s:
             self.gaps_s.append(now_s - self.token_s)
         self.token_s = now_s
 
 
-def prompt_of(request: RequestStep) -> str:
-    """Return a prompt of the request's length, its shared beginning first."""
+def build_prompt(request: RequestStep) -> str:
+    """Return a prompt of the requested length, starting with its shared prefix."""
     shared = [f"{request.prefix}{n}" for n in range(request.prefix_words)]
     own = ["oak"] * (request.words - request.prefix_words)
     return " ".join([*shared, request.name, *own])
 
 
 class Requests:
-    """All requests of a run.
+    """Requests of a run.
 
     Parameters
     ----------
     system : System
         The running system.
     client : httpx.AsyncClient
-        The callers' connections.
+        HTTP client of the callers.
     keys : Keys
-        Their keys.
+        API keys of the callers.
     seed : int
-        For the choice of entries.
+        Seed of the random number generators of the callers.
 
     Attributes
     ----------
     records : dict of str to Record
-        Those sent so far, by name.
+        Records of the requests sent so far, by name.
     """
 
     def __init__(
@@ -155,7 +156,7 @@
         self.records: dict[str, Record] = {}
 
     def entries(self, place: str) -> list[str]:
-        """Return the callers' addresses of a zone or node, or of all."""
+        """Return the addresses for callers of a zone, of a node or of all nodes."""
         return [
             str(node.settings.listen.callers)
             for name, node in self.system.nodes.items()
@@ -163,22 +164,22 @@
         ]
 
     def caller(self, request: RequestStep) -> TimedCaller:
-        """Return a caller with random numbers of its own."""
+        """Create a caller with its own random number generator."""
         rng = random.Random(f"{self.seed} {request.name} {request.attempt}")
         api_key = self.keys.by_customer[request.customer]
-        near = self.entries(request.place)
-        return TimedCaller(self.client, api_key, self.entries(""), rng, near)
+        first_entries = self.entries(request.place)
+        return TimedCaller(self.client, api_key, self.entries(""), rng, first_entries)
 
     async def send(self, request: RequestStep) -> None:
-        """Send a request and note what comes of it."""
+        """Send a request and record its result."""
         kind = KINDS[request.kind]
         caller = self.caller(request)
         if kind.is_model:
-            note = ModelNote(prompt_of(request), request.tokens)
+            note = ModelRecord(build_prompt(request), request.tokens)
             self.add(request, note).gaps_s = caller.gaps_s
-            await caller.ask(note, kind.service, PICKUP_TIME_S)
+            await caller.ask(note, kind.service, PICKUP_TIMEOUT_S)
             return
-        note = self.plain_note(request)
+        note = self.plain_record(request)
         if request.attempt and not kind.path:
             plan = BookingPlan(True, 1, request.timeout_s)
             await caller.send_booking(note, plan, request.attempt)
@@ -191,24 +192,24 @@
         )
         await caller.book(note, plan)
 
-    def plain_note(self, request: RequestStep) -> BookingNote:
-        """Return the note of a booking or alert; repeats of a trace share it."""
+    def plain_record(self, request: RequestStep) -> BookingRecord:
+        """Return the record of a plain request; repeats in a trace share one."""
         known = self.records.get(request.name)
         if known is not None:
             return known.note
         service = KINDS[request.kind].service
-        note = BookingNote(request.name, service, request.declares)
+        note = BookingRecord(request.name, service, request.declares)
         self.add(request, note)
         return note
 
-    def add(self, request: RequestStep, note: ModelNote | BookingNote) -> Record:
-        """Open the record of a request."""
+    def add(self, request: RequestStep, note: ModelRecord | BookingRecord) -> Record:
+        """Add the record of a new request."""
         record = Record(request, note, trio.current_time())
         self.records[request.name] = record
         return record
 
     async def read(
-        self, caller: Caller, note: BookingNote, request: RequestStep, path: str
+        self, caller: Caller, note: BookingRecord, request: RequestStep, path: str
     ) -> None:
         """Send an idempotent read once."""
         entry = caller.next_entry()
@@ -217,16 +218,16 @@
         try:
             with trio.fail_after(request.timeout_s):
                 response = await self.client.get(url, headers=caller.headers)
-            reply.outcome, reply.reason = outcome_of(response)
+            reply.outcome, reply.reason = parse_outcome(response)
             reply.body = response.text
         except (httpx.HTTPError, trio.TooSlowError) as error:
             reply.reason = type(error).__name__
         note.replies.append(reply)
 
-    # What the ledgers say
+    # Ledgers of the servers
 
-    def runs_of(self, note: BookingNote) -> list[Run]:
-        """Return the runs with a note's key on all servers."""
+    def runs_of(self, note: BookingRecord) -> list[Run]:
+        """Return the executions of a request on all servers of its service."""
         return [
             run
             for server in self.system.servers.values()
@@ -237,22 +238,24 @@
         ]
 
     def generations(self) -> Iterator[GenerationEntry]:
-        """Return the ledger lines of all engines."""
+        """Return the ledger entries of all engines."""
         for server in self.system.servers.values():
             if isinstance(server.standin, EngineStandIn):
                 yield from server.standin.batch.ledger
 
     def violations(self, record: Record) -> list[Violation]:
-        """Return what is wrong with what a caller was told."""
+        """Return the violations in the responses that a caller received."""
         note = record.note
-        if isinstance(note, ModelNote):
-            return audit_model(note, lambda note: note.entry in self.system.unannounced)
+        if isinstance(note, ModelRecord):
+            return audit_model(
+                note, lambda note: note.entry in self.system.killed_entries
+            )
         if KINDS[record.request.kind].path:
             return self.read_violations(record)
         return audit_booking(note, self.runs_of(note))
 
     def read_violations(self, record: Record) -> list[Violation]:
-        """Return what is wrong with an answer to an idempotent read."""
+        """Return the violations in the responses to an idempotent read."""
         path = KINDS[record.request.kind].path
         return [
             Violation("crossed", record.request.name, reply.body[:80])
--- a/src/rosemaryknot/replay/scenario_run.py
+++ b/src/rosemaryknot/replay/scenario_run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario over the whole system in virtual time."""
+"""Execution of a scenario against the whole system in virtual time."""
 
 import time
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 from rosemaryknot.connection.http_client import http_client
 from rosemaryknot.process.safeguards import Safeguards
-from rosemaryknot.replay.figures import Figures, figures_of
+from rosemaryknot.replay.figures import Figures, compute_figures
 from rosemaryknot.replay.scenario import SERVICES, Expectation, Scenario, Step
 from rosemaryknot.replay.scenario_actions import ACTIONS
 from rosemaryknot.replay.scenario_checks import CHECKS
@@ -20,21 +20,21 @@
 __all__ = ["ScenarioReport", "ScenarioRun", "run_scenario"]
 
 WARM_UP_S = 4.0
-WATCH_GAP_S = 0.1
+CHECK_INTERVAL_S = 0.1
 ANSWER_HORIZON_S = 600
 PLAIN_TIMEOUT_S = 5
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What became of one stated outcome.
+    """Result of checking one expectation.
 
     Attributes
     ----------
     expectation : Expectation
-        What was stated.
+        Expectation as stated in the scenario.
     seen : str
-        What was seen instead; empty where it held.
+        Observed values that contradict it; empty if it held.
     """
 
     expectation: Expectation
@@ -42,13 +42,13 @@
 
     @property
     def held(self) -> bool:
-        """Whether the outcome is as stated."""
+        """Whether the expectation held."""
         return not self.seen
 
 
 @dataclass(slots=True)
 class ScenarioReport:
-    """What a run came to.
+    """Result of one run.
 
     Attributes
     ----------
@@ -57,17 +57,17 @@
     seed : int
         Seed of the run.
     verdicts : list of Verdict
-        One for each stated outcome, in the order of the file.
+        One for each expectation, in the order of the file.
     outcomes : dict of str to int
-        Requests by result.
+        Number of requests by kind and result.
     figures : Figures
-        What it cost and how fast it was.
+        Cost and latency figures.
     digest : str
-        Of the decision log.
+        Digest of the decision log.
     decisions : int
-        Lines of the decision log.
+        Number of lines of the decision log.
     virtual_s, took_s : float
-        Length of the run in virtual and in real time, in seconds.
+        Duration of the run in virtual and in real time, in seconds.
     """
 
     title: str
@@ -82,12 +82,12 @@
 
     @property
     def held(self) -> bool:
-        """Whether all stated outcomes are as stated."""
+        """Whether all expectations held."""
         return all(verdict.held for verdict in self.verdicts)
 
 
 def new_document(scenario: Scenario, keys: Keys, route_policy: str) -> dict:
-    """Return the configuration that a scenario starts with."""
+    """Return the initial configuration document of a scenario."""
     services = {}
     for group in scenario.servers:
         if SERVICES[group.service] == "model":
@@ -123,7 +123,7 @@
 
 
 def new_placements(scenario: Scenario) -> dict[str, dict]:
-    """Return the placements of the configuration, by service and zone."""
+    """Return the placements of the configuration document, by service and zone."""
     found: dict[str, dict] = {}
     for placement in scenario.placements:
         found.setdefault(placement.service, {})[placement.zone] = {
@@ -134,20 +134,20 @@
     return found
 
 
-def names_in_order(names: list[str]) -> list[str]:
-    """Return the names without repeats."""
+def unique_names(names: list[str]) -> list[str]:
+    """Return the names without duplicates, in order of first occurrence."""
     return list(dict.fromkeys(names))
 
 
 class ScenarioRun:
-    """One run while it lasts.
+    """Run in progress.
 
     Parameters
     ----------
     scenario : Scenario
-        What happens.
+        Scenario to execute.
     safeguards : Safeguards, optional
-        All on, but to show what one prevents.
+        All enabled, except to show what one of them prevents.
     route_policy : str
         Route policy of the model services.
 
@@ -156,17 +156,18 @@
     system : System
         The running system.
     client : httpx.AsyncClient
-        Connections of callers and operators.
+        HTTP client of callers and operators.
     requests : Requests
-        Callers' requests.
+        Requests of the callers and their results.
     keys : Keys
-        Callers' and operators' keys.
+        API keys of callers and operators.
     patches : dict of str to str
-        Outcomes of operators' patches by name.
+        Outcomes of the operators' patches, by name.
     notices_s : dict of str to float
-        When each instance's reclaim notice was sent, in virtual seconds.
+        Time at which the reclaim notice of each instance was sent, in virtual
+        seconds.
     reverted : list of str
-        Processes that took an older configuration than they had.
+        Descriptions of processes that applied an older configuration than before.
     """
 
     system: System
@@ -184,8 +185,8 @@
         self.safeguards = safeguards or Safeguards()
         steps = scenario.steps
         self.keys = Keys(
-            names_in_order([r.customer for r in scenario.requests]),
-            names_in_order(
+            unique_names([r.customer for r in scenario.requests]),
+            unique_names(
                 [s.arguments["operator"] for s in steps if s.action == "patch"]
             ),
             scenario.seed,
@@ -194,11 +195,11 @@
         self.patches: dict[str, str] = {}
         self.notices_s: dict[str, float] = {}
         self.reverted: list[str] = []
-        self.highest: dict[str, int] = {}
+        self.highest_numbers: dict[str, int] = {}
         self.start_s = 0.0
 
     def new_plan(self) -> SystemPlan:
-        """Return what the system starts with."""
+        """Return the initial state and parameters of the system."""
         scenario = self.scenario
         plan = SystemPlan(
             new_document(scenario, self.keys, self.route_policy),
@@ -214,7 +215,7 @@
         return plan
 
     async def start_servers(self) -> None:
-        """Start the backend servers that the scenario begins with."""
+        """Start the initial backend servers of the scenario."""
         for group in self.scenario.servers:
             for zone in [group.zone] if group.zone else self.scenario.zones:
                 for _ in range(group.count):
@@ -223,7 +224,7 @@
                     )
 
     async def run(self) -> None:
-        """Run the system and all steps, and check the stated outcomes."""
+        """Run the system and all steps, and check the expectations."""
         async with trio.open_nursery() as nursery:
             self.system = System(self.new_plan(), nursery)
             self.system.platform.cloud.prices.update(self.scenario.prices)
@@ -235,16 +236,16 @@
                 self.requests = Requests(
                     self.system, self.client, self.keys, self.scenario.seed
                 )
-                await self.play()
+                await self.run_steps()
             self.finish()
             self.system.dispose()
             nursery.cancel_scope.cancel()
 
-    async def play(self) -> None:
-        """Run all steps and the checks that have a time."""
+    async def run_steps(self) -> None:
+        """Run all steps, the checks at given times and the checks at the end."""
         verdicts: dict[int, Verdict] = {}
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.watch_numbers)
+            nursery.start_soon(self.record_reversions)
             for step in self.scenario.steps:
                 nursery.start_soon(self.run_step, step)
             for index, expectation in enumerate(self.scenario.expectations):
@@ -253,7 +254,7 @@
             await trio.sleep(self.scenario.end_s)
             nursery.cancel_scope.cancel()
         for index, expectation in enumerate(self.scenario.expectations):
-            verdict = verdicts.get(index) or self.judge(expectation)
+            verdict = verdicts.get(index) or self.check_expectation(expectation)
             self.report.verdicts.append(verdict)
 
     async def run_step(self, step: Step) -> None:
@@ -264,19 +265,19 @@
     async def check_at(
         self, index: int, expectation: Expectation, verdicts: dict[int, Verdict]
     ) -> None:
-        """Check one outcome at its time."""
+        """Check one expectation at its time."""
         await trio.sleep_until(self.start_s + expectation.at_s)
-        verdicts[index] = self.judge(expectation)
+        verdicts[index] = self.check_expectation(expectation)
 
-    def judge(self, expectation: Expectation) -> Verdict:
-        """Check an outcome now."""
+    def check_expectation(self, expectation: Expectation) -> Verdict:
+        """Check an expectation immediately."""
         seen = CHECKS[expectation.check](self, **expectation.arguments)
         return Verdict(expectation, seen)
 
     # Configuration
 
-    def numbers(self) -> dict[str, int]:
-        """Return the number in force in each process that runs."""
+    def active_numbers(self) -> dict[str, int]:
+        """Return the active configuration number of each running process."""
         found = {}
         for name, node in self.system.nodes.items():
             for kind, host, process in (
@@ -287,23 +288,23 @@
                     found[f"{kind} {name}"] = process.holder.number
         return found
 
-    async def watch_numbers(self) -> None:
-        """Note every process that takes an older configuration than it had."""
+    async def record_reversions(self) -> None:
+        """Record every process that applies an older configuration than before."""
         while True:
-            for process, number in self.numbers().items():
-                before = self.highest.get(process, 0)
+            for process, number in self.active_numbers().items():
+                before = self.highest_numbers.get(process, 0)
                 if 0 < number < before:
                     self.reverted.append(f"{process} went from {before} to {number}")
-                self.highest[process] = max(before, number)
-            await trio.sleep(WATCH_GAP_S)
+                self.highest_numbers[process] = max(before, number)
+            await trio.sleep(CHECK_INTERVAL_S)
 
     def finish(self) -> None:
-        """Fill in the figures of the report."""
+        """Fill in the outcomes and figures of the report."""
         report = self.report
         for record in self.requests.records.values():
             name = f"{record.request.kind} {record.outcome}"
             report.outcomes[name] = report.outcomes.get(name, 0) + 1
-        report.figures = figures_of(self.requests, self.start_s)
+        report.figures = compute_figures(self.requests, self.start_s)
         report.virtual_s = trio.current_time()
 
 
@@ -318,18 +319,18 @@
     Parameters
     ----------
     scenario : Scenario
-        What happens.
+        Scenario to execute.
     shown : bool
         Whether the decision log is written to standard error.
     safeguards : Safeguards, optional
-        By default all on.
+        All enabled by default.
     route_policy : str
         Route policy of the model services.
 
     Returns
     -------
     report : ScenarioReport
-        What came of it.
+        Verdicts, figures and digest of the run.
     """
     log = DecisionLog(shown)
     run = ScenarioRun(scenario, safeguards, route_policy)
--- a/src/rosemaryknot/replay/system.py
+++ b/src/rosemaryknot/replay/system.py
@@ -1,8 +1,9 @@
-"""The whole system in one process and in virtual time, over the stand-ins.
+"""Whole system in one operating system process and in virtual time.
 
-The entries and agents are the same functions that the live programs run; only the
-network and the clock differ. Each process is a host of its own, so that an agent can
-be frozen or killed while the entry of its node goes on.
+Entries and agents run the same main functions as in production; only the network and
+the clock are simulated, and the platform and the backend servers are stand-ins. Each
+simulated process has its own host, so that an agent can be frozen or killed while the
+entry of its node keeps running.
 """
 
 import math
@@ -31,44 +32,44 @@
 EPOCH_UNIX_S = 1_800_000_000.0
 CLUSTER_KEY = b"a key for runs in virtual time"
 NODE_SERVICE = "rosemaryknot"
-PLATFORM = Address("10.255.0.1", 7000)
+PLATFORM_ADDRESS = Address("10.255.0.1", 7000)
 CALLERS_HOST = "10.254.0.1"
 CALLERS_PORT, OPERATORS_PORT, LINKS_PORT, SERVER_PORT = 8100, 8200, 8300, 9000
 
 
 def unix_time() -> float:
-    """Return the wall clock of a run in virtual time, seconds of the epoch."""
+    """Return the simulated wall clock time of a run, in seconds since the epoch."""
     return EPOCH_UNIX_S + trio.current_time()
 
 
 @dataclass(slots=True)
 class SystemPlan:
-    """What a run starts with.
+    """Initial state and parameters of a run.
 
     Attributes
     ----------
     document : dict
-        Configuration document in force from the start.
+        Configuration document that is active from the start.
     zones : list of str
         Availability zones.
     nodes_per_zone : int
-        Entry instances of each zone.
+        Number of nodes in each zone; each has one entry and one agent.
     servers : dict of str to int
-        Backend servers of each service in each zone.
+        Number of backend servers of each service in each zone.
     kinds : dict of str to str
-        ``model`` or ``plain`` for each service.
+        Kind of each service: ``model`` or ``plain``.
     delay_s : float
         One-way delay between zones, in seconds.
     engine : EngineSettings
-        What the engines are like.
+        Settings of the engine stand-ins.
     plain : PlainSettings
-        What the plain services are like.
+        Settings of the stand-ins of plain services.
     safeguards : Safeguards
-        All on, but in a run that proves what one prevents.
+        All enabled, except in a run that shows what one of them prevents.
     seed : int
-        Seed of every random choice of the processes.
+        Seed of the random number generators of all processes.
     move_policy : str
-        What the entries do with the streams of a leaving server.
+        Policy by which entries move the streams of a draining server.
     """
 
     document: dict[str, Any]
@@ -86,22 +87,22 @@
 
 @dataclass(slots=True)
 class NodeProcesses:
-    """The entry and the agent of one node.
+    """Entry and agent of one node.
 
     Attributes
     ----------
     settings : Settings
-        Of both.
+        Settings of both processes.
     entry, agent : Host
-        Where they run.
+        Hosts on which they run.
     entry_stop, agent_stop : trio.Event
-        Ask for a planned stop.
-    entry_ended, agent_ended : trio.Event
-        Set when a planned stop is over.
+        Set to request a graceful shutdown.
+    entry_stopped, agent_stopped : trio.Event
+        Set when a graceful shutdown has completed.
     entry_process : Entry or None
-        The entry that serves; None while there is none.
+        Running entry; None while none runs.
     agent_process : Agent or None
-        The agent that serves; None while there is none.
+        Running agent; None while none runs.
     """
 
     settings: Settings
@@ -109,27 +110,27 @@
     agent: Host
     entry_stop: trio.Event = field(default_factory=trio.Event)
     agent_stop: trio.Event = field(default_factory=trio.Event)
-    entry_ended: trio.Event = field(default_factory=trio.Event)
-    agent_ended: trio.Event = field(default_factory=trio.Event)
+    entry_stopped: trio.Event = field(default_factory=trio.Event)
+    agent_stopped: trio.Event = field(default_factory=trio.Event)
     entry_process: Entry | None = None
     agent_process: Agent | None = None
 
 
 @dataclass(slots=True)
 class ServerProcess:
-    """One backend server.
+    """Backend server of a run.
 
     Attributes
     ----------
     listed : BackendServer
-        As the platform lists it.
+        Its entry in the instance list of the platform.
     host : Host
-        Where it runs.
+        Host on which it runs.
     standin : EngineStandIn or PlainStandIn
-        Its stand-in, with the ledger.
+        Its stand-in, which records in a ledger all requests that it executes.
     started_s, ended_s : float
-        When it began to serve and was terminated, in virtual seconds; infinite
-        while it was not.
+        Times at which it started to serve and was terminated, in virtual seconds;
+        ``ended_s`` is infinite until it is terminated.
     """
 
     listed: BackendServer
@@ -140,27 +141,27 @@
 
 
 class System:
-    """A running system.
+    """Running system in virtual time.
 
     Parameters
     ----------
     plan : SystemPlan
-        What it starts with.
+        Initial state and parameters.
     nursery : trio.Nursery
-        Where its processes run.
+        Nursery in which its processes run.
 
     Attributes
     ----------
     network : MemoryNetwork
-        The network, with its faults.
+        Simulated network, into which faults can be injected.
     platform : PlatformStandIn
-        The platform, with its faults.
+        Stand-in of the platform, into which faults can be injected.
     nodes : dict of str to NodeProcesses
-        Our nodes by name.
+        Nodes by name.
     servers : dict of str to ServerProcess
         Backend servers by instance, terminated ones included.
-    unannounced : set of str
-        Callers' addresses of entries that died without notice.
+    killed_entries : set of str
+        Addresses, as callers know them, of entries that were killed without notice.
     """
 
     def __init__(self, plan: SystemPlan, nursery: trio.Nursery) -> None:
@@ -168,19 +169,19 @@
         self.nursery = nursery
         self.network = MemoryNetwork()
         self.platform = PlatformStandIn(unix_time)
-        self.platform_host = Host(self.network.with_host(PLATFORM.host))
+        self.platform_host = Host(self.network.with_host(PLATFORM_ADDRESS.host))
         self.callers = self.network.with_host(CALLERS_HOST)
         self.nodes: dict[str, NodeProcesses] = {}
         self.servers: dict[str, ServerProcess] = {}
         self.hosts: list[Host] = [self.platform_host]
-        self.zone_of_host: dict[str, str] = {}
-        self.unannounced: set[str] = set()
-        self.starts = 0
-        self.launches = 0
+        self.zone_by_host: dict[str, str] = {}
+        self.killed_entries: set[str] = set()
+        self.start_count = 0
+        self.launch_count = 0
 
     async def start(self) -> None:
         """Start the platform, the backend servers and the nodes."""
-        self.platform.cloud.on_terminated.append(self.note_terminated)
+        self.platform.cloud.on_terminated.append(self.kill_terminated)
         self.platform.cloud.launcher = self.launch
         stored = StoredConfiguration(number=1, document=self.plan.document)
         self.platform.kinds["configuration"].put("main", stored.to_value(), 0)
@@ -188,14 +189,14 @@
             self.platform_host,
             self.platform.serve,
             self.platform_host.network,
-            PLATFORM,
+            PLATFORM_ADDRESS,
         )
         for number, zone in enumerate(self.plan.zones, 1):
             for service, count in self.plan.servers.items():
                 for _ in range(count):
                     await self.start_server(service, zone)
             for index in range(1, self.plan.nodes_per_zone + 1):
-                self.plan_node(zone, number, index)
+                self.configure_node(zone, number, index)
         for node in self.nodes.values():
             self.start_agent(node)
             self.start_entry(node)
@@ -215,12 +216,12 @@
         await listening.wait()
 
     def new_host(self, number: int, kind: int, index: int, zone: str) -> Host:
-        """Return a host at an address of its own in a zone."""
+        """Create a host with a new address in a zone."""
         address = f"10.{number}.{kind}.{index}"
-        for other, other_zone in self.zone_of_host.items():
+        for other, other_zone in self.zone_by_host.items():
             if other_zone != zone:
                 self.network.delays_s[frozenset((address, other))] = self.plan.delay_s
-        self.zone_of_host[address] = zone
+        self.zone_by_host[address] = zone
         host = Host(self.network.with_host(address))
         self.hosts.append(host)
         return host
@@ -232,10 +233,10 @@
         machine_class: str = "g1",
         reclaimable: bool = True,
     ) -> ServerProcess:
-        """Start one backend server and let the platform list it."""
-        self.starts += 1
+        """Start a backend server and add it to the instance list of the platform."""
+        self.start_count += 1
         listed = BackendServer(
-            instance=f"{service}-{zone}-{self.starts}",
+            instance=f"{service}-{zone}-{self.start_count}",
             service=service,
             zone=zone,
             machine_class=machine_class,
@@ -250,10 +251,10 @@
     async def launch(self, listed: BackendServer) -> str:
         """Start the process of a new instance and return its address.
 
-        The cloud calls this too, when our placement starts an instance.
+        The cloud stand-in also calls this when placement starts an instance.
         """
-        self.launches += 1
-        index = self.launches
+        self.launch_count += 1
+        index = self.launch_count
         number = self.plan.zones.index(listed.zone) + 1
         host = self.new_host(number, 100 + index // 250, index % 250, listed.zone)
         address = Address(host.network.host, SERVER_PORT)
@@ -266,8 +267,11 @@
         self.servers[listed.instance] = process
         return str(address)
 
-    def plan_node(self, zone: str, number: int, index: int) -> None:
-        """Lay out one node; the first two of each zone are everybody's seeds."""
+    def configure_node(self, zone: str, number: int, index: int) -> None:
+        """Configure a node and add it to the instance list.
+
+        The first two nodes of each zone are the seed peers of all nodes.
+        """
         entry = self.new_host(number, 0, index, zone)
         agent = self.new_host(number, 1, index, zone)
         links = Address(agent.network.host, LINKS_PORT)
@@ -287,7 +291,7 @@
                 for seed in range(1, min(2, self.plan.nodes_per_zone) + 1)
                 if (other, seed) != (number, index)
             ],
-            platform=PLATFORM,
+            platform=PLATFORM_ADDRESS,
             cluster_key_env="KEY",
         )
         settings.cluster_key = CLUSTER_KEY
@@ -303,13 +307,13 @@
             )
         )
 
-    def random_for(self, name: str) -> random.Random:
-        """Return the random numbers of one process."""
-        return random.Random(f"{self.plan.seed} {name} {self.starts}")
+    def new_random(self, name: str) -> random.Random:
+        """Return the random number generator of one process."""
+        return random.Random(f"{self.plan.seed} {name} {self.start_count}")
 
     def start_agent(self, node: NodeProcesses) -> None:
         """Start the agent of a node."""
-        rng = self.random_for(f"agent {node.settings.node}")
+        rng = self.new_random(f"agent {node.settings.node}")
 
         async def run() -> None:
             async with trio.open_nursery() as nursery:
@@ -322,13 +326,13 @@
                     unix_time,
                 )
             node.agent_process = None
-            node.agent_ended.set()
+            node.agent_stopped.set()
 
         self.nursery.start_soon(node.agent.run, run)
 
     def start_entry(self, node: NodeProcesses) -> None:
         """Start the entry of a node."""
-        rng = self.random_for(f"entry {node.settings.node}")
+        rng = self.new_random(f"entry {node.settings.node}")
 
         async def run() -> None:
             async with trio.open_nursery() as nursery:
@@ -344,44 +348,44 @@
                 process.relay.mover.policy = self.plan.move_policy
                 node.entry_process = process
             node.entry_process = None
-            node.entry_ended.set()
+            node.entry_stopped.set()
 
         self.nursery.start_soon(node.entry.run, run)
 
     def restart_agent(self, name: str) -> None:
-        """Kill the agent of a node, if it lives, and start a new one."""
+        """Kill the agent of a node, if it is running, and start a new one."""
         node = self.nodes[name]
         node.agent.kill()
         node.agent = self.replace_host(node.agent)
         node.agent_process = None
-        node.agent_stop, node.agent_ended = trio.Event(), trio.Event()
+        node.agent_stop, node.agent_stopped = trio.Event(), trio.Event()
         self.start_agent(node)
 
     def restart_entry(self, name: str) -> None:
-        """Kill the entry of a node, if it lives, and start a new one."""
+        """Kill the entry of a node, if it is running, and start a new one."""
         node = self.nodes[name]
         node.entry.kill()
         node.entry = self.replace_host(node.entry)
         node.entry_process = None
-        node.entry_stop, node.entry_ended = trio.Event(), trio.Event()
+        node.entry_stop, node.entry_stopped = trio.Event(), trio.Event()
         self.start_entry(node)
 
     def replace_host(self, host: Host) -> Host:
-        """Return a new host at the same address."""
-        self.starts += 1
+        """Create a host at the address of one that was killed."""
+        self.start_count += 1
         replacement = Host(host.network)
         self.hosts.append(replacement)
         return replacement
 
     def kill_node(self, name: str) -> None:
-        """Take a node's instance away: both processes, confirmed by the platform."""
+        """Kill both processes of a node and mark its instance as terminated."""
         node = self.nodes[name]
         node.entry.kill()
         node.agent.kill()
         self.platform.cloud.terminate(name)
 
-    def note_terminated(self, instance: str) -> None:
-        """Kill the process of a terminated instance."""
+    def kill_terminated(self, instance: str) -> None:
+        """Kill the processes of a terminated instance."""
         if instance in self.servers:
             self.servers[instance].host.kill()
             self.servers[instance].ended_s = trio.current_time()
@@ -390,30 +394,32 @@
             self.nodes[instance].agent.kill()
 
     def hosts_of_zone(self, zone: str) -> list[str]:
-        """Return the IP numbers of a zone."""
-        return [host for host, known in self.zone_of_host.items() if known == zone]
+        """Return the IP addresses of the hosts of a zone."""
+        return [
+            host for host, host_zone in self.zone_by_host.items() if host_zone == zone
+        ]
 
-    def cut_zone(self, zone: str, platform_too: bool = True) -> None:
-        """Partition a zone from the other zones, and from the platform."""
-        self.for_each_border(zone, platform_too, self.network.cut)
+    def partition_zone(self, zone: str, platform_too: bool = True) -> None:
+        """Partition a zone from the other zones and, if requested, the platform."""
+        self.for_each_cross_zone_pair(zone, platform_too, self.network.cut)
 
     def heal_zone(self, zone: str) -> None:
         """End the partition of a zone."""
-        self.for_each_border(zone, True, self.network.heal)
+        self.for_each_cross_zone_pair(zone, True, self.network.heal)
 
-    def for_each_border(
-        self, zone: str, platform_too: bool, act: Callable[[str, str], None]
+    def for_each_cross_zone_pair(
+        self, zone: str, platform_too: bool, function: Callable[[str, str], None]
     ) -> None:
-        """Act on each pair of hosts with one inside and one outside of a zone."""
+        """Call a function for each pair of hosts inside and outside a zone."""
         inside = self.hosts_of_zone(zone)
-        outside = [h for h, known in self.zone_of_host.items() if known != zone]
+        outside = [h for h, host_zone in self.zone_by_host.items() if host_zone != zone]
         if platform_too:
-            outside.append(PLATFORM.host)
+            outside.append(PLATFORM_ADDRESS.host)
         for near in inside:
             for far in outside:
-                act(near, far)
+                function(near, far)
 
     def dispose(self) -> None:
-        """End all processes, dead ones included."""
+        """Cancel the tasks of all processes, those of killed hosts included."""
         for host in self.hosts:
             host.dispose()
--- a/src/rosemaryknot/replay/trace_command.py
+++ b/src/rosemaryknot/replay/trace_command.py
@@ -1,4 +1,4 @@
-"""The commands ``trace``, ``compare`` and ``generate`` of ``rosemaryknot-replay``."""
+"""Commands ``trace``, ``compare`` and ``generate`` of ``rosemaryknot-replay``."""
 
 import json
 from dataclasses import asdict, fields
@@ -32,16 +32,16 @@
 
 OutcomesOption = Annotated[
     Path | None,
-    typer.Option(help="Stated outcomes; by default beside the trace, as .outcomes."),
+    typer.Option(help="Expected outcomes; default: .outcomes file next to the trace."),
 ]
 SeedOption = Annotated[
-    int | None, typer.Option(help="Seed, in place of the one in the outcomes.")
+    int | None, typer.Option(help="Seed that replaces the one in the outcomes.")
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
-def load(trace: Path, outcomes: Path | None, seed: int | None) -> Scenario:
-    """Return a trace with its outcomes, or end the program with what is wrong."""
+def load_scenario(trace: Path, outcomes: Path | None, seed: int | None) -> Scenario:
+    """Return the scenario of a trace and its outcomes, or exit with an error."""
     beside = outcomes or trace.with_suffix(OUTCOMES_SUFFIX)
     try:
         scenario = traced_scenario(read_trace(trace), beside.read_text())
@@ -57,10 +57,12 @@
 
 
 def check_policy(name: str) -> None:
-    """End the program where there is no such route policy."""
+    """Exit with an error if the route policy does not exist."""
     if name not in POLICIES:
         names = ", ".join(sorted(POLICIES))
-        fail(f"no route policy {name}; there are {names}", ExitCode.BAD_USAGE)
+        fail(
+            f"unknown route policy {name}; known policies: {names}", ExitCode.BAD_USAGE
+        )
 
 
 def run_trace(
@@ -73,10 +75,10 @@
         bool, typer.Option(help="Print the decision log, in virtual time.")
     ] = False,
 ) -> None:
-    """Run a trace in virtual time and check its stated outcomes."""
+    """Run a trace in virtual time and check its expected outcomes."""
     check_policy(policy)
-    scenario = load(trace, outcomes, seed)
-    typer.echo(f"trace: {len(scenario.requests)} sends by {policy}", err=True)
+    scenario = load_scenario(trace, outcomes, seed)
+    typer.echo(f"trace: {len(scenario.requests)} sends with policy {policy}", err=True)
     report = run_scenario(scenario, decisions, route_policy=policy)
     print_failures(trace.with_suffix(OUTCOMES_SUFFIX), report)
     if json_lines:
@@ -98,23 +100,23 @@
 
 def compare_policies(
     policy_a: Annotated[str, typer.Argument(help="Route policy.")],
-    policy_b: Annotated[str, typer.Argument(help="Another one.")],
+    policy_b: Annotated[str, typer.Argument(help="Route policy to compare it with.")],
     trace: Annotated[Path, typer.Option(help="JSON lines.")],
     outcomes: OutcomesOption = None,
     seed: SeedOption = None,
     json_lines: JsonOption = False,
 ) -> None:
-    """Run a trace by two route policies, on the same seed, and compare the figures.
+    """Run a trace with two route policies and the same seed, and compare the figures.
 
-    A stated outcome that does not hold is printed and is no failure here: a baseline
-    may miss the targets.
+    An expected outcome that does not hold is printed but does not change the exit
+    code, because a baseline may miss the targets.
     """
     reports: dict[str, ScenarioReport] = {}
     for policy in (policy_a, policy_b):
         check_policy(policy)
     for policy in (policy_a, policy_b):
         typer.echo(f"compare: running {policy}", err=True)
-        scenario = load(trace, outcomes, seed)
+        scenario = load_scenario(trace, outcomes, seed)
         reports[policy] = run_scenario(scenario, route_policy=policy)
         print_failures(trace.with_suffix(OUTCOMES_SUFFIX), reports[policy])
     figures = {policy: report.figures for policy, report in reports.items()}
@@ -129,11 +131,13 @@
     mix: Annotated[str, typer.Argument(help="bluebonnet or pawbridge.")],
     out: Annotated[Path, typer.Argument(help="File to write.")],
     seed: Annotated[int, typer.Option(min=0, help="Seed of the trace.")] = 0,
-    seconds: Annotated[float, typer.Option(min=1, help="Length.")] = 15.0,
+    seconds: Annotated[
+        float, typer.Option(min=1, help="Duration of the trace in seconds.")
+    ] = 15.0,
 ) -> None:
     """Generate a trace from a seed."""
     if mix not in MIXES:
-        fail(f"no mix {mix}; there are {', '.join(MIXES)}", ExitCode.BAD_USAGE)
+        fail(f"unknown mix {mix}; known mixes: {', '.join(MIXES)}", ExitCode.BAD_USAGE)
     requests = generate_trace(mix, seed, seconds)
     write_trace(out, requests)
     typer.echo(f"generate: {len(requests)} requests in {out}", err=True)
--- a/src/rosemaryknot/replay/trace_generator.py
+++ b/src/rosemaryknot/replay/trace_generator.py
@@ -1,4 +1,4 @@
-"""Generates traces from a seed, one mix of requests for each of the users."""
+"""Generator of seeded traces, with one mix of requests for each user."""
 
 from collections.abc import Callable
 
@@ -13,13 +13,13 @@
 
 MIXES: dict[str, Mix] = {}
 
-SWING = 0.6
+RATE_AMPLITUDE = 0.6
 REPEAT_SHARE = 0.15
-REPEAT_GAP_S = (0.2, 2.0)
+REPEAT_DELAY_RANGE_S = (0.2, 2.0)
 LARGE_BUILDER_SHARE = 0.5
 ESTIMATORS = 4
 OWNERS = 5
-OWN_WORDS = 20
+UNSHARED_WORDS = 20
 
 
 def mix(name: str) -> Callable[[Mix], Mix]:
@@ -27,47 +27,52 @@
 
     def register(function: Mix) -> Mix:
         if name in MIXES:
-            raise ValueError(f"mix {name!r} is taken")
+            raise ValueError(f"mix {name!r} is already registered")
         MIXES[name] = function
         return function
 
     return register
 
 
-def arrivals(
+def arrival_times(
     rng: numpy.random.Generator, per_s: float, duration_s: float
 ) -> list[float]:
-    """Return the times of a Poisson process whose rate swings once, as over a day.
+    """Return the times of a Poisson process whose rate rises and falls once.
 
-    It is thinned from one of the highest rate, which is ``1 + SWING`` of the mean.
+    The rate varies as over a day. The process is thinned from one with the constant
+    peak rate, which is ``1 + RATE_AMPLITUDE`` times the mean rate.
     """
-    highest = per_s * (1 + SWING)
-    count = rng.poisson(highest * duration_s)
+    peak_rate = per_s * (1 + RATE_AMPLITUDE)
+    count = rng.poisson(peak_rate * duration_s)
     times_s = numpy.sort(rng.uniform(0, duration_s, count))
     phase = 2 * numpy.pi * times_s / duration_s
-    kept = rng.random(count) * (1 + SWING) <= 1 - SWING * numpy.cos(phase)
-    return [round(float(time_s), 3) for time_s in times_s[kept]]
+    selected = rng.random(count) * (
+        1 + RATE_AMPLITUDE
+    ) <= 1 - RATE_AMPLITUDE * numpy.cos(phase)
+    return [round(float(time_s), 3) for time_s in times_s[selected]]
 
 
-def tokens(rng: numpy.random.Generator, median: float, spread: float, most: int) -> int:
-    """Return a length drawn from a log-normal distribution, within bounds."""
-    return int(numpy.clip(rng.lognormal(numpy.log(median), spread), 8, most))
+def draw_token_count(
+    rng: numpy.random.Generator, median: float, sigma: float, upper_bound: int
+) -> int:
+    """Draw a length from a log-normal distribution, clipped to bounds."""
+    return int(numpy.clip(rng.lognormal(numpy.log(median), sigma), 8, upper_bound))
 
 
-def plain(time_s: float, customer: str, kind: str, key: str) -> TracedRequest:
-    """Return an idempotent read."""
+def idempotent_read(time_s: float, customer: str, kind: str, key: str) -> TracedRequest:
+    """Return an idempotent read of a plain service."""
     return TracedRequest(time_s, customer, KINDS[kind].service, kind, key)
 
 
-def once_only(
+def booking_sends(
     rng: numpy.random.Generator, time_s: float, customer: str, kind: str, key: str
 ) -> list[TracedRequest]:
-    """Return a booking or alert, with a second attempt now and then."""
+    """Return a booking or alert, sometimes with a second attempt."""
     service = KINDS[kind].service
     sends = [TracedRequest(time_s, customer, service, kind, key, attempt=1)]
     if rng.random() < REPEAT_SHARE:
-        again_s = round(time_s + float(rng.uniform(*REPEAT_GAP_S)), 3)
-        sends.append(TracedRequest(again_s, customer, service, kind, key, attempt=2))
+        retry_s = round(time_s + float(rng.uniform(*REPEAT_DELAY_RANGE_S)), 3)
+        sends.append(TracedRequest(retry_s, customer, service, kind, key, attempt=2))
     return sends
 
 
@@ -75,13 +80,15 @@
 def bluebonnet(rng: numpy.random.Generator, duration_s: float) -> list[TracedRequest]:
     """Return plan sets, questions, stock checks and bookings.
 
-    Plan sets of one builder begin with that builder's drawings and rules; one large
-    builder sends half of them.
+    The prompts of a builder's plan sets share a prefix: that builder's drawings and
+    rules. One large builder sends half of the plan sets.
     """
     found = []
-    drawings = {f"estimator-{n}": tokens(rng, 600, 0.3, 1200) for n in range(1, 5)}
+    drawings = {
+        f"estimator-{n}": draw_token_count(rng, 600, 0.3, 1200) for n in range(1, 5)
+    }
     drawings["builder-large"] = 1400
-    for number, time_s in enumerate(arrivals(rng, 0.45, duration_s)):
+    for number, time_s in enumerate(arrival_times(rng, 0.45, duration_s)):
         customer = f"estimator-{rng.integers(1, ESTIMATORS + 1)}"
         if rng.random() < LARGE_BUILDER_SHARE:
             customer = "builder-large"
@@ -93,13 +100,13 @@
                 "kit-assistant",
                 "plan-set",
                 f"plans-{number}",
-                shared + tokens(rng, 300, 0.5, 1200),
-                tokens(rng, 350, 0.4, 900),
+                shared + draw_token_count(rng, 300, 0.5, 1200),
+                draw_token_count(rng, 350, 0.4, 900),
                 customer,
                 shared,
             )
         )
-    for number, time_s in enumerate(arrivals(rng, 1.2, duration_s)):
+    for number, time_s in enumerate(arrival_times(rng, 1.2, duration_s)):
         customer = f"estimator-{rng.integers(1, ESTIMATORS + 1)}"
         found.append(
             TracedRequest(
@@ -108,15 +115,17 @@
                 "kit-assistant",
                 "question",
                 f"question-{number}",
-                tokens(rng, 40, 0.4, 120),
-                tokens(rng, 40, 0.4, 120),
+                draw_token_count(rng, 40, 0.4, 120),
+                draw_token_count(rng, 40, 0.4, 120),
             )
         )
-    for number, time_s in enumerate(arrivals(rng, 1.5, duration_s)):
-        found.append(plain(time_s, "dispatcher", "stock-check", f"stock-{number}"))
-    for number, time_s in enumerate(arrivals(rng, 0.7, duration_s)):
+    for number, time_s in enumerate(arrival_times(rng, 1.5, duration_s)):
+        found.append(
+            idempotent_read(time_s, "dispatcher", "stock-check", f"stock-{number}")
+        )
+    for number, time_s in enumerate(arrival_times(rng, 0.7, duration_s)):
         key = f"booking-{number}"
-        found += once_only(rng, time_s, "dispatcher", "booking", key)
+        found += booking_sends(rng, time_s, "dispatcher", "booking", key)
     return found
 
 
@@ -124,10 +133,10 @@
 def pawbridge(rng: numpy.random.Generator, duration_s: float) -> list[TracedRequest]:
     """Return care briefs, chat drafts of several turns, alerts and pings.
 
-    Each turn of a chat begins with the turns before it.
+    The prompt of each turn of a chat starts with the preceding turns.
     """
     found = []
-    for number, time_s in enumerate(arrivals(rng, 0.25, duration_s)):
+    for number, time_s in enumerate(arrival_times(rng, 0.25, duration_s)):
         customer = "sitter-match" if rng.random() < 0.5 else "owner-app"
         found.append(
             TracedRequest(
@@ -136,29 +145,29 @@
                 "brief-writer",
                 "care-brief",
                 f"brief-{number}",
-                tokens(rng, 700, 0.5, 2000),
-                tokens(rng, 450, 0.4, 900),
+                draw_token_count(rng, 700, 0.5, 2000),
+                draw_token_count(rng, 450, 0.4, 900),
                 customer,
                 200,
             )
         )
-    for number, time_s in enumerate(arrivals(rng, 0.3, duration_s)):
+    for number, time_s in enumerate(arrival_times(rng, 0.3, duration_s)):
         found += chat(rng, time_s, f"chat-{number}")
-    for number, time_s in enumerate(arrivals(rng, 0.8, duration_s)):
+    for number, time_s in enumerate(arrival_times(rng, 0.8, duration_s)):
         customer = f"sitter-{rng.integers(1, OWNERS + 1)}"
-        found += once_only(rng, time_s, customer, "alert", f"alert-{number}")
-    for number, time_s in enumerate(arrivals(rng, 2.0, duration_s)):
-        found.append(plain(time_s, "owner-app", "ping", f"ping-{number}"))
+        found += booking_sends(rng, time_s, customer, "alert", f"alert-{number}")
+    for number, time_s in enumerate(arrival_times(rng, 2.0, duration_s)):
+        found.append(idempotent_read(time_s, "owner-app", "ping", f"ping-{number}"))
     return found
 
 
 def chat(rng: numpy.random.Generator, time_s: float, name: str) -> list[TracedRequest]:
     """Return the turns of one conversation."""
     turns = []
-    prompt_tokens = tokens(rng, 200, 0.4, 600)
+    prompt_tokens = draw_token_count(rng, 200, 0.4, 600)
     customer = f"sitter-{rng.integers(1, OWNERS + 1)}"
     for turn in range(int(rng.integers(2, 5))):
-        answer_tokens = tokens(rng, 70, 0.4, 200)
+        answer_tokens = draw_token_count(rng, 70, 0.4, 200)
         turns.append(
             TracedRequest(
                 round(time_s, 3),
@@ -169,11 +178,11 @@
                 prompt_tokens,
                 answer_tokens,
                 name,
-                max(0, prompt_tokens - OWN_WORDS),
+                max(0, prompt_tokens - UNSHARED_WORDS),
             )
         )
         time_s += float(rng.uniform(4, 9))
-        prompt_tokens += answer_tokens + tokens(rng, 40, 0.4, 100)
+        prompt_tokens += answer_tokens + draw_token_count(rng, 40, 0.4, 100)
     return turns
 
 
@@ -183,16 +192,16 @@
     Parameters
     ----------
     name : str
-        A key of `MIXES`.
+        Name of the mix; a key of `MIXES`.
     seed : int
-        Equal seeds give equal traces.
+        Seed of the trace; equal seeds give equal traces.
     duration_s : float
-        Time in which requests begin, in seconds; turns of a chat may follow later.
+        Period in which requests start, in seconds; turns of a chat may follow later.
 
     Returns
     -------
     requests : list of TracedRequest
-        In the order of time.
+        Requests ordered by time.
     """
     rng = numpy.random.default_rng([seed, len(name)])
     return sorted(MIXES[name](rng, duration_s), key=lambda r: (r.time_s, r.key))
--- a/src/rosemaryknot/replay/traces.py
+++ b/src/rosemaryknot/replay/traces.py
@@ -1,4 +1,4 @@
-"""Traces: callers' requests as JSON lines, with the stated outcomes beside them."""
+"""Traces: requests of callers as JSON lines, with a file of expected outcomes."""
 
 import json
 from dataclasses import asdict, dataclass, fields
@@ -22,33 +22,34 @@
 
 
 class TraceError(ValueError):
-    """A line that is no request."""
+    """Invalid line of a trace."""
 
 
 @dataclass(slots=True)
 class TracedRequest:
-    """One line of a trace.
+    """Line of a trace.
 
     Attributes
     ----------
     time_s : float
-        When it is sent, in seconds from the start of the trace.
+        Time at which it is sent, in seconds from the start of the trace.
     customer : str
-        Who sends it.
+        Customer that sends it.
     service : str
-        Service that it is for; the one that its kind goes to.
+        Service to which it is sent; must be the service of its kind.
     kind : str
         A key of `KINDS`.
     key : str
-        Idempotency key of a booking or alert; for the others a name.
+        Idempotency key of a booking or alert; a name for other kinds.
     prompt_tokens, answer_tokens : int
-        Length of the prompt, and the limit of the answer; 0 for plain services.
+        Length of the prompt, and maximum length of the response; 0 for plain
+        services.
     prefix : str
-        What the prompt begins with, by a name; empty for a prompt of its own.
+        Name of the shared prefix of the prompt; empty if it shares none.
     prefix_tokens : int
-        Length of that beginning.
+        Length of the shared prefix.
     attempt : int
-        Attempt number of a booking or alert; 0 for the others.
+        Attempt number of a booking or alert; 0 for other kinds.
     """
 
     time_s: float
@@ -63,7 +64,7 @@
     attempt: int = 0
 
     def to_request(self) -> RequestStep:
-        """Return the request as scenarios have it."""
+        """Convert to a request of a scenario."""
         return RequestStep(
             self.customer,
             self.kind,
@@ -77,10 +78,10 @@
         )
 
 
-def request_of(line: Any) -> TracedRequest:
-    """Return the request of a parsed line, or raise what is wrong with it."""
+def parse_request(line: Any) -> TracedRequest:
+    """Convert a parsed line to a request, or raise `TraceError`."""
     if not isinstance(line, dict):
-        raise TraceError("found no JSON object")
+        raise TraceError("expected a JSON object")
     known = {field.name: field.type for field in fields(TracedRequest)}
     unknown = sorted(set(line) - set(known))
     if unknown:
@@ -107,29 +108,29 @@
     Parameters
     ----------
     path : pathlib.Path
-        A file of JSON lines.
+        File of JSON lines.
 
     Returns
     -------
     requests : list of TracedRequest
-        In the order of the file.
+        Requests in the order of the file.
 
     Raises
     ------
     TraceError
-        With the number of the first line that is no request.
+        If a line is invalid; gives the number of the first such line.
     """
     requests = []
     for number, text in enumerate(path.read_text().splitlines(), 1):
         try:
-            requests.append(request_of(json.loads(text)))
+            requests.append(parse_request(json.loads(text)))
         except (TraceError, json.JSONDecodeError) as error:
             raise TraceError(f"line {number}: {error}") from None
     return requests
 
 
 def write_trace(path: Path, requests: list[TracedRequest]) -> None:
-    """Write a trace; fields that are empty or zero are left out."""
+    """Write a trace; fields that are empty or zero are omitted, except the time."""
     lines = [
         json.dumps({k: v for k, v in asdict(request).items() if v or k == "time_s"})
         for request in requests
@@ -138,24 +139,25 @@
 
 
 def traced_scenario(requests: list[TracedRequest], outcomes: str) -> Scenario:
-    """Return a trace and its stated outcomes as one scenario.
+    """Combine a trace and its expected outcomes into one scenario.
 
     Parameters
     ----------
     requests : list of TracedRequest
-        The trace.
+        Requests of the trace.
     outcomes : str
-        Text in the scenario language: the system, its faults, what must come of it.
+        Text in the scenario language: the system, its faults and the expected
+        outcomes.
 
     Returns
     -------
     scenario : Scenario
-        To be run.
+        Scenario to run.
 
     Raises
     ------
     ScenarioError
-        If the stated outcomes are no scenario.
+        If ``outcomes`` is not a valid scenario.
     """
     steps = [
         Step(traced.time_s, "send", {"request": traced.to_request()}, number)
--- a/src/rosemaryknot/replay/virtual_time.py
+++ b/src/rosemaryknot/replay/virtual_time.py
@@ -1,4 +1,4 @@
-"""Run the system in virtual time so that equal seeds give equal runs."""
+"""Deterministic runs in virtual time: equal seeds give equal runs."""
 
 import hashlib
 from collections.abc import Awaitable, Callable, Iterator, MutableMapping
@@ -16,22 +16,22 @@
 
 __all__ = ["DecisionLog", "run_in_virtual_time"]
 
-DIGEST_LETTERS = 16
-INFO = 20
+DIGEST_HEX_DIGITS = 16
+INFO_LEVEL = 20
 
 
 class DecisionLog:
-    """Digest over the log lines of a run, each with its virtual time.
+    """Digest of the log lines of a run, each with its virtual time.
 
     Parameters
     ----------
     shown : bool
-        Whether the lines are written to standard error too.
+        Whether the lines are also written to standard error.
 
     Attributes
     ----------
     lines : int
-        Lines so far.
+        Number of lines so far.
     """
 
     def __init__(self, shown: bool = False) -> None:
@@ -42,16 +42,16 @@
 
     @contextmanager
     def recording(self) -> Iterator[None]:
-        """Take all log lines of this process meanwhile."""
+        """Add all log lines of this process to the digest within the context."""
         before = structlog.get_config()
         structlog.configure(
             processors=[
                 structlog.processors.add_log_level,
                 record_decision,
                 redact_secrets,
-                self.take,
+                self.add_line,
             ],
-            wrapper_class=structlog.make_filtering_bound_logger(INFO),
+            wrapper_class=structlog.make_filtering_bound_logger(INFO_LEVEL),
             logger_factory=lambda *args: self.writer,
             cache_logger_on_first_use=False,
         )
@@ -60,10 +60,10 @@
         finally:
             structlog.configure(**before)
 
-    def take(
+    def add_line(
         self, logger: Any, method: str, event: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any] | str:
-        """Add one line; a structlog processor."""
+        """Add one line to the digest; a structlog processor."""
         event["timestamp"] = f"{trio.current_time():.6f}"
         line = render_text(logger, method, event)
         self.lines += 1
@@ -74,8 +74,8 @@
 
     @property
     def digest(self) -> str:
-        """Digest of all lines."""
-        return self.hash.hexdigest()[:DIGEST_LETTERS]
+        """Hexadecimal digest of all lines, shortened."""
+        return self.hash.hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 def run_in_virtual_time(
@@ -83,23 +83,23 @@
 ) -> Any:
     """Run an async function over freezable hosts in virtual time.
 
-    Trio runs the tasks that are ready in a random order, so that programs do not come
-    to rest on one. Its test switch sorts them and its generator is seeded here: both
-    are what its pytest plugin uses to repeat a run.
+    Trio schedules runnable tasks in random order, so that programs do not depend on a
+    particular order. This function enables trio's internal switch that sorts them and
+    seeds its random number generator, as trio's pytest plugin does to repeat a run.
 
     Parameters
     ----------
     seed : int
-        Seed of the order of tasks.
+        Seed of the order in which tasks are scheduled.
     function : callable
-        Async function.
+        Async function to run.
     *args
-        Its arguments.
+        Arguments of the function.
 
     Returns
     -------
     value
-        What the function returns.
+        Return value of the function.
     """
     sorted_before = trio_scheduler._ALLOW_DETERMINISTIC_SCHEDULING
     state_before = trio_scheduler._r.getstate()
--- a/src/rosemaryknot/request/claim_reports.py
+++ b/src/rosemaryknot/request/claim_reports.py
@@ -1,4 +1,4 @@
-"""Background exchange of an entry with its agent: claim results and map numbers."""
+"""Background exchange of an entry with its agent: claim results, shard map numbers."""
 
 from collections import deque
 from typing import Protocol
@@ -23,9 +23,10 @@
 SENDER_TASKS = 32
 MAX_WAITING_BYTES = 32 * 1024 * 1024
 EMPTY_POLL_INTERVAL_S = 0.02
-# A new map number applies to requests that arrive this long after it was received. A
-# process that was suspended receives the number and reads old requests from its sockets
-# at the same moment; after this delay it has read them.
+# A new shard map number applies only to requests that arrive at least this long after
+# it was received. When a suspended process resumes, it may receive a new number at the
+# same time as requests that were already waiting in its sockets, and the old number
+# applies to these. Within this delay it has read all of them.
 ADOPTION_DELAY_S = 1.0
 MAX_NUMBERS = 64
 
@@ -40,14 +41,14 @@
 
 
 class ArrivalNumbers:
-    """Numbers of the shard map, by the time from which they apply."""
+    """Recent shard map numbers, each with the time from which it applies."""
 
     def __init__(self) -> None:
         self.numbers: deque[tuple[float, int]] = deque([(0.0, 0)], MAX_NUMBERS)
 
     @property
     def newest(self) -> int:
-        """The newest number, whether it applies already or not."""
+        """The newest number received, even if it does not apply yet."""
         return self.numbers[-1][1]
 
     def record(self, number: int) -> None:
@@ -64,10 +65,10 @@
 
 
 class ResultReporter:
-    """Queue of results that are sent to the agent until it has stored them.
+    """Queue of results to send to the agent, with retries until it has stored them.
 
-    The loss of a result is safe, since the open grant prevents the id from running
-    again. The caller's next attempt then receives "unknown", however.
+    If a result is lost, the id still does not run again, since its claim remains
+    granted without a result. The caller's next attempt receives "unknown".
 
     Parameters
     ----------
@@ -98,7 +99,7 @@
         Returns
         -------
         is_empty : bool
-            False if results are lost; later attempts of their ids receive "unknown".
+            False if results are lost; later attempts with their ids receive "unknown".
         """
         with trio.move_on_after(timeout_s):
             while not self.is_empty:
@@ -106,7 +107,11 @@
         return self.is_empty
 
     def add(self, result: ResultRecord) -> None:
-        """Queue a result to be sent in the background."""
+        """Queue a result to be sent in the background.
+
+        A body above the size limits is dropped. If the queue is full, the oldest result
+        is dropped.
+        """
         size = len(result.body)
         if (
             size > MAX_STORED_BODY_BYTES
@@ -138,7 +143,7 @@
         return isinstance(reply, ResultStored) and reply.stored
 
     async def send_or_add(self, result: ResultRecord) -> None:
-        """Send a result now, or in the background if this fails."""
+        """Send a result immediately; if this fails, queue it."""
         is_sent = False
         try:
             is_sent = await self.send(result, REPORT_TIMEOUT_S)
@@ -149,8 +154,8 @@
     async def run(self) -> None:
         """Send queued results until cancelled.
 
-        Several tasks send concurrently, so that results for an owner that does not
-        respond do not delay those for other owners.
+        Several tasks send concurrently, so that results for a shard owner that does
+        not respond do not delay those for other owners.
         """
         async with trio.open_nursery() as nursery:
             for _ in range(SENDER_TASKS):
--- a/src/rosemaryknot/request/engine_queue.py
+++ b/src/rosemaryknot/request/engine_queue.py
@@ -1,4 +1,4 @@
-"""Fair queueing of model requests in front of the engines."""
+"""Fair queueing of model requests for the engines of backend servers."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,7 +12,7 @@
 
 RECHECK_INTERVAL_S = 0.1
 MAX_USAGE_LEVEL = 8
-# Slots that are assumed of an engine without a load report.
+# Number of slots assumed for an engine that has not sent a load report.
 DEFAULT_SLOTS = 32
 # See `engine_capacity`.
 MIN_CAPACITY_SHARE = 1 / 8
@@ -28,7 +28,8 @@
     Parameters
     ----------
     priority : int
-        0 for a short response, 1 for a long one.
+        Priority within one customer's requests: 0 for a short response, 1 for a long
+        one.
     usage_level : int
         Usage level of the request's `EnginePermit`.
 
@@ -46,35 +47,35 @@
 
 
 def engine_capacity(loads: Iterable[ServerLoad]) -> float:
-    """Return the number of requests that this entry may have at some engines.
+    """Return the number of requests that this entry may have at the given engines.
 
     Parameters
     ----------
     loads : iterable of ServerLoad
-        Known load of each engine.
+        Load of each engine, as known to this process.
 
     Returns
     -------
     capacity : float
-        The slots that other entries do not use, but at least `MIN_CAPACITY_SHARE` of
-        all slots. Without this minimum, an entry that starts later would find every
-        slot in use, and each freed slot acquired again before a load report shows it
-        as free.
+        Number of slots that other entries do not use, but at least
+        `MIN_CAPACITY_SHARE` of all slots. Without this minimum, an entry that starts
+        after the others would get no slot: all are in use, and the other entries
+        acquire each freed slot again before a load report shows it as free.
     """
-    slots = free = 0
+    total_slots = free_slots = 0
     for load in loads:
-        own = load.report.slots if load.report else DEFAULT_SLOTS
-        others = max(0.0, load.current_requests() - load.in_flight)
-        slots += own
-        free += max(0.0, own - others)
-    return max(free, slots * MIN_CAPACITY_SHARE)
+        engine_slots = load.report.slots if load.report else DEFAULT_SLOTS
+        other_requests = max(0.0, load.current_requests() - load.in_flight)
+        total_slots += engine_slots
+        free_slots += max(0.0, engine_slots - other_requests)
+    return max(free_slots, total_slots * MIN_CAPACITY_SHARE)
 
 
 class EngineQueue:
-    """Limit on this entry's requests at the engines, with fair queues for the rest.
+    """Limits this entry's requests at the engines; queues the rest fairly by customer.
 
-    Engines queue requests too, but do not know the customer: requests sent beyond the
-    engines' slots would wait there in the order of their arrival.
+    Requests beyond the engines' slots are queued here, since an engine would queue them
+    in the order of arrival: it does not know which customer sent a request.
 
     Parameters
     ----------
@@ -100,7 +101,7 @@
         self.services: dict[str, ServiceQueue] = {}
 
     def queue(self, service: str) -> ServiceQueue:
-        """Return the queue of a service."""
+        """Return the queue of a service; create it on first use."""
         queue = self.services.get(service)
         if queue is None:
             queue = ServiceQueue(lambda: self.capacity(service))
@@ -132,18 +133,18 @@
         Returns
         -------
         permit : EnginePermit or NotRun
-            The permit, which the caller must release; or the refusal with the time
-            after which to retry.
+            The permit, to be released when the request ends; or the refusal, with the
+            time after which to retry.
         """
         return await self.queue(service).acquire(customer, cost, is_short, deadline_s)
 
     async def run(self) -> None:
-        """Start waiting requests as other entries free capacity, until cancelled.
+        """Check periodically whether queued requests can start, until cancelled.
 
-        The requests of other entries at the engines are known from load reports only,
-        and no message announces the end of one of them, so the capacity is checked
-        periodically. When the process shuts down, waiting requests have not been
-        accepted yet: they are refused immediately so that callers can retry elsewhere.
+        Requests of other entries are known from the engines' load reports only. No
+        message reports the end of a single request, so the free capacity is polled.
+        When the process shuts down, queued requests have not been accepted yet: they
+        are refused immediately so that callers can retry elsewhere.
         """
         while True:
             await trio.sleep(RECHECK_INTERVAL_S)
--- a/src/rosemaryknot/request/gateway_placement.py
+++ b/src/rosemaryknot/request/gateway_placement.py
@@ -3,20 +3,20 @@
 Load pattern: prompts of some thousand tokens arrive in bursts. A server prefills one
 prompt after the other, between the decoding steps of running generations, and some
 server usually has most of the prompt's prefix in its cache. The time to the first event
-is determined by the prefill tokens queued ahead of it. A model request therefore goes
-to the server with the fewest prefill tokens, including its own uncached ones, not to
-the server with the fewest requests.
+of the response stream is determined by the prefill tokens queued ahead of the request.
+A model request therefore goes to the server with the fewest prefill tokens, including
+its own uncached ones, not to the server with the fewest requests.
 
 A server prefills a long prompt in chunks, one with each decoding step of the running
 generations, which delays their events. A response whose gap between events is too long
 counts as late. Long prompts are therefore assigned a separate group of servers, sized
-by their share of the prefill work. All gateways derive the groups from the same hash.
+by their share of the prefill work. All gateways use the same hash to form the groups.
 Requests that exceed the capacity of their group go to servers with few running
 generations.
 
-Where many gateways use the same aggregated load reports, some hundred milliseconds old,
-all of them would choose the same server until the next report. Each request then
-compares only a small random sample of the servers.
+Where load reports arrive as aggregates, many gateways use the same ones, some hundred
+milliseconds old. All of these gateways would choose the same server until the next
+report. Each request then compares only a small random sample of the servers.
 """
 
 import math
@@ -46,11 +46,11 @@
 # Cost of a running request in prefill tokens: each one lengthens every step of the
 # engine, and with it the time to the first event.
 RUNNING_REQUEST_COST_TOKENS = 60
-# Weight of a cached token relative to a queued one: recomputing it would take the same
-# time from this request and from those queued behind it.
+# Weight of a cached token relative to a queued one: recomputing it would delay this
+# request and, by the same time, those queued behind it.
 CACHED_TOKEN_WEIGHT = 2.0
-# Share of the target gap between events that a prompt's prefill may take without
-# delaying the events of running responses too long.
+# A prefill that takes at most this share of the target gap between events does not
+# delay the events of running responses too long.
 UNDELAYED_GAP_SHARE = 0.3
 # Share of the target gap between events above which a prompt counts as long.
 LONG_PROMPT_GAP_SHARE = 0.6
@@ -70,9 +70,11 @@
 # are used as well, so that a run of failures or a broken link at one node does not
 # leave a service without servers.
 MIN_REMAINING_SHARE = 0.5
-# Servers that a request compares if the load reports of other nodes are delayed.
+# Number of servers that a request compares if the load reports of other nodes are
+# delayed.
 SAMPLE_SIZE = 2
-# Additional servers, from the group for the other prompt length.
+# Number of servers that a request compares in addition, from the other group: the one
+# for long prompts if its own prompt is not long, and vice versa.
 OTHER_KIND_SAMPLE_SIZE = 1
 
 
@@ -115,8 +117,8 @@
     rng : random.Random
         Breaks ties and draws samples.
     event_gap_tokens : float
-        Tokens that a server prefills within the longest gap between events that keeps
-        the responses it is running on time.
+        Tokens that a server prefills within the longest gap between events with which
+        its running responses do not count as late.
     long_share : float
         Share of the prefill work that is caused by long prompts.
     """
@@ -130,7 +132,7 @@
 
     @property
     def prefill_tokens(self) -> int:
-        """Prompt tokens to prefill at the server that has most of them cached."""
+        """Prompt tokens to prefill at the candidate with the most cached tokens."""
         uncached = [self.size.prompt_tokens - c.cached_tokens for c in self.candidates]
         return max(0, min(uncached, default=0))
 
@@ -175,20 +177,22 @@
 def lowest_cost(
     inputs: PlacementInput, candidates: list[Candidate], group: set[ServerState]
 ) -> Candidate | None:
-    """Return the candidate with the least delay for this request and the others."""
+    """Return the candidate that delays this request and the others the least."""
 
     def cost(candidate: Candidate) -> tuple[float, float]:
-        own = inputs.size.prompt_tokens - CACHED_TOKEN_WEIGHT * candidate.cached_tokens
-        is_near = candidate.state.entry.zone == inputs.zone
-        zone_cost = 0 if is_near else OTHER_ZONE_COST_TOKENS
-        running = candidate.requests * (
+        own_cost = (
+            inputs.size.prompt_tokens - CACHED_TOKEN_WEIGHT * candidate.cached_tokens
+        )
+        is_same_zone = candidate.state.entry.zone == inputs.zone
+        zone_cost = 0 if is_same_zone else OTHER_ZONE_COST_TOKENS
+        running_cost = candidate.requests * (
             RUNNING_REQUEST_COST_TOKENS + event_delay_tokens(inputs, candidate)
         )
         group_cost = 0.0
         if candidate.state not in group:
             group_cost = UNDELAYED_GAP_SHARE * inputs.event_gap_tokens
         return (
-            candidate.tokens + own + running + zone_cost + group_cost,
+            candidate.tokens + own_cost + running_cost + zone_cost + group_cost,
             inputs.rng.random(),
         )
 
@@ -196,7 +200,7 @@
 
 
 def servers_for_prompt_length(inputs: PlacementInput) -> set[ServerState]:
-    """Return the servers for long prompts if this is one, otherwise the others.
+    """Return the group of servers for the length of this prompt, long or not.
 
     All gateways order the servers by the same hash, so their groups mostly agree.
     """
@@ -212,10 +216,10 @@
 
 
 def event_delay_tokens(inputs: PlacementInput, candidate: Candidate) -> float:
-    """Return the cost of the prefill for each running response, in tokens.
+    """Return the cost of delaying one running response by the prefill, in tokens.
 
-    A response whose gap between events is too long costs as much as a request that
-    waits for the same time.
+    If the gap between events becomes too long, the cost is that of a request that waits
+    for the same time.
     """
     if math.isinf(inputs.event_gap_tokens):
         return 0.0
@@ -231,8 +235,8 @@
     """Choose the server with the fewest requests per slot."""
 
     def cost(candidate: Candidate) -> tuple[float, float]:
-        is_near = candidate.state.entry.zone == inputs.zone
-        zone_cost = 0 if is_near else OTHER_ZONE_COST_REQUESTS
+        is_same_zone = candidate.state.entry.zone == inputs.zone
+        zone_cost = 0 if is_same_zone else OTHER_ZONE_COST_REQUESTS
         slots = max(1, candidate.state.entry.slots)
         return (candidate.requests + zone_cost) / slots, inputs.rng.random()
 
@@ -262,7 +266,7 @@
     """Return the servers that may get a request.
 
     Servers with many failed attempts are excluded if enough others remain. Servers in
-    backoff and silent ones are returned only if there are no others.
+    backoff and silent servers are returned only if there are no others.
 
     Examples
     --------
@@ -273,14 +277,14 @@
     accepting = [s for s in states if s.accepts_requests(now_s)]
     if tried:
         accepting = [s for s in accepting if s.incarnation not in tried]
-    present = [s for s in accepting if now_s >= s.backoff_until_s]
-    present = [s for s in present if not s.is_silent(now_s, silence_timeout_s)]
+    available = [s for s in accepting if now_s >= s.backoff_until_s]
+    available = [s for s in available if not s.is_silent(now_s, silence_timeout_s)]
     # A missing entry may have expired because the store was unreachable. Servers that
     # are still listed are preferred.
-    listed = [s for s in present if not s.is_missing]
+    listed = [s for s in available if not s.is_missing]
     if listed:
-        present = listed
-    healthy = [s for s in present if s.failure_share < MAX_FAILURE_SHARE]
-    if healthy and len(healthy) >= MIN_REMAINING_SHARE * len(present):
+        available = listed
+    healthy = [s for s in available if s.failure_share < MAX_FAILURE_SHARE]
+    if healthy and len(healthy) >= MIN_REMAINING_SHARE * len(available):
         return healthy
-    return present or accepting
+    return available or accepting
--- a/src/rosemaryknot/request/model_api.py
+++ b/src/rosemaryknot/request/model_api.py
@@ -1,4 +1,4 @@
-"""Handling of callers' requests to language models, and their retrieval."""
+"""Acceptance of model requests from callers, and lookup of accepted requests."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -29,11 +29,12 @@
 __all__ = ["Finder", "ModelApi", "ModelStarter"]
 
 UNRESOLVED_SERVICE = ""
-"""Service name of a request whose body has not been read yet."""
+"""Service name used until the body, which names the service, has been read."""
 
 log = logger("request")
 
 Finder = Callable[[str, str], Awaitable[EventSource | Unknown | None]]
+"""Lookup in other processes of a request, by customer name and request id."""
 
 
 class ModelStarter(Protocol):
@@ -53,7 +54,7 @@
     drain : Drain
         Draining state of the process.
     nursery : trio.Nursery
-        Nursery that lives as long as the process.
+        Nursery that stays open until the process ends.
     relay : ModelStarter
         Runs generations.
     generations : GenerationTable
@@ -61,13 +62,13 @@
     body_timeout_s : float
         Timeout for receiving a body, in seconds.
     model_admission : ModelAdmission
-        Budgets of the customers and fair queuing for the engines.
+        Token budgets of the customers, and the fair queue in front of the engines.
 
     Attributes
     ----------
     finders : list of callable
-        Async functions of customer and request id that find a generation held by
-        another process; called in order.
+        Lookups of generations that another process holds; called in order until one
+        returns a result.
     """
 
     def __init__(
@@ -104,15 +105,17 @@
         generation : Generation or NotRun
             The running generation, or the reason for the refusal.
         """
-        stopping = self.drain.refusal()
-        if stopping is not None:
-            return stopping
+        drain_refusal = self.drain.refusal()
+        if drain_refusal is not None:
+            return drain_refusal
         services = arrival.view.services.values()
         max_timeout_s = max((s.timeout_s for s in services), default=0.0)
         timeout_s = read_timeout_s(request, max_timeout_s)
         if isinstance(timeout_s, NotRun):
             return timeout_s
         deadline_s = arrival.arrived_s + timeout_s
+        # The concurrency limit depends on the service; `start` checks it once the body
+        # has been read.
         slot = await self.admission.admit(
             arrival.customer.name, UNRESOLVED_SERVICE, float("inf"), deadline_s
         )
@@ -199,12 +202,12 @@
         Returns
         -------
         generation : EventSource or Unknown
-            The request; `Unknown` if there is none or it is another customer's.
+            The request; `Unknown` if this customer has no such request.
         """
         customer = arrival.customer.name
         found = self.generations.find(customer, request_id)
         if found is not None and isinstance(found.outcome, Running):
-            # Another entry has taken over the request.
+            # Another entry has adopted the request; the local generation is obsolete.
             found = None
         for finder in self.finders:
             if found is not None:
--- a/src/rosemaryknot/standin/users/audit.py
+++ b/src/rosemaryknot/standin/users/audit.py
@@ -1,52 +1,59 @@
-"""Checks of what gateways promise, by what callers and backend servers have seen.
+"""Checks of the gateway's guarantees against records of callers and backend servers.
 
-Pure functions of records, so that plays in virtual time and processes on loopback are
-held to the same promises.
+The checks are pure functions of records, so that the same invariants apply to plays in
+virtual time and to processes on loopback.
 """
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
 from rosemaryknot.process.node_settings import Bounds
-from rosemaryknot.standin.users.contact import EVERYONE, Disturbances
-from rosemaryknot.standin.users.store import Written
-
-__all__ = ["DRAIN_S", "Asked", "Reached", "Seen", "Violation", "audit"]
-
-# These say that the request has not run and never will.
+from rosemaryknot.standin.users.disturbances import ALL_SUBJECTS, Disturbances
+from rosemaryknot.standin.users.store import ObjectChange
+
+__all__ = [
+    "DRAIN_S",
+    "CallerRequest",
+    "ServerRequest",
+    "Observations",
+    "Violation",
+    "audit",
+]
+
+# Statuses which state that the request has not run and never will.
 NOT_RUN = frozenset((408, 421, 429, 503))
 UNKNOWN = frozenset((401, 403, 404))
 OK = 200
-# From the store's confirmation on: until a configuration is in force, and until a
-# server that leaves gets no more requests.
+# Maximum time after the store has confirmed the write: until a configuration is
+# active, and until a draining server receives no more requests.
 APPLY_S = 3.0
 DRAIN_S = Bounds().drain_ms / 1000
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request of a caller and what it got.
+class CallerRequest:
+    """A request of a caller and the response that it received.
 
     Attributes
     ----------
     id : str
-        Its id.
+        Id of the request.
     kind : str
         ``plain`` or ``stream``.
     allows_retry : bool
-        Whether it may run again.
+        Whether the request may run more than once.
     status : int
-        0 where no head of an answer came.
+        Status of the response; 0 if no response head was received.
     body : bytes
-        As far as it came.
+        The part of the body that was received.
     is_whole : bool
-        Whether the answer ended as it said it would.
+        Whether the response was complete according to its framing.
     events : int
-        Events that the whole stream has.
+        Number of events in the complete stream.
     node, path : str
-        Whom it was sent to, and for what.
+        Gateway node that the request was sent to, and the request path.
     sent_s, ended_s : float
-        When it was sent, and when its answer ended, in trio time.
+        When the request was sent and when its response ended, in trio time.
     """
 
     id: str
@@ -63,81 +70,81 @@
 
 
 @dataclass(slots=True)
-class Reached:
-    """One request that reached a server and was not refused as another's.
+class ServerRequest:
+    """A request that reached a server and that the server did not refuse.
 
     Attributes
     ----------
     server, id : str
         Ids of the server and of the request.
-    at_s : float
-        When, in trio time.
+    timestamp_s : float
+        When the request arrived, in trio time.
     """
 
     server: str
     id: str
-    at_s: float
+    timestamp_s: float
 
 
 @dataclass(slots=True)
-class Seen:
-    """Everything that was seen.
+class Observations:
+    """Records of a play or a soak, which `audit` checks.
 
     Attributes
     ----------
-    asked : list of Asked
-        What callers asked and got.
+    caller_requests : list of CallerRequest
+        Requests of all callers, with their responses.
     runs : dict of str to int
-        How often each id ran, on all servers.
-    usage_doubled : list of int
-        Windows that were told with different counts.
-    fences : list of int
-        Fencing numbers of accepted calls, in order.
+        Number of runs by request id, over all servers.
+    conflicting_usage_windows : list of int
+        Windows whose usage was reported with different counts.
+    fencing_tokens : list of int
+        Fencing tokens of accepted calls, in order.
     holders : list of tuple of (str, int)
-        Holders and numbers of accepted calls.
-    trapped : list of str
-        Requests that came where only entries of another writer lead.
-    reached : list of Reached
+        Lease holders and fencing tokens of accepted calls.
+    misrouted : list of str
+        Ids of requests that arrived at the address which only foreign entries name.
+    server_requests : list of ServerRequest
         Requests that reached servers, in order.
-    written : list of Written
+    object_changes : list of ObjectChange
         Changes of the store's objects, in order.
     disturbances : Disturbances
-        Whom a promise with a time does not bind, and when.
+        Subjects and periods for which invariants with a time limit do not hold.
     """
 
-    asked: list[Asked] = field(default_factory=list)
+    caller_requests: list[CallerRequest] = field(default_factory=list)
     runs: dict[str, int] = field(default_factory=dict)
-    usage_doubled: list[int] = field(default_factory=list)
-    fences: list[int] = field(default_factory=list)
+    conflicting_usage_windows: list[int] = field(default_factory=list)
+    fencing_tokens: list[int] = field(default_factory=list)
     holders: list[tuple[str, int]] = field(default_factory=list)
-    trapped: list[str] = field(default_factory=list)
-    reached: list[Reached] = field(default_factory=list)
-    written: list[Written] = field(default_factory=list)
+    misrouted: list[str] = field(default_factory=list)
+    server_requests: list[ServerRequest] = field(default_factory=list)
+    object_changes: list[ObjectChange] = field(default_factory=list)
     disturbances: Disturbances = field(default_factory=Disturbances)
 
 
 @dataclass(slots=True)
 class Violation:
-    """A promise that was not kept.
+    """A violated invariant.
 
     Attributes
     ----------
-    promise : str
-        Its name.
+    invariant : str
+        Name of the invariant.
     detail : str
-        The id and what was seen.
+        The id concerned and what was observed.
     """
 
-    promise: str
+    invariant: str
     detail: str
 
 
-Check = Callable[[Seen], Iterable[str]]
+Check = Callable[[Observations], Iterable[str]]
 CHECKS: dict[str, Check] = {}
 
 
-def promise(name: str) -> Callable[[Check], Check]:
-    """Register a check, which yields a detail for each breach."""
+def invariant(name: str) -> Callable[[Check], Check]:
+    """Register a check, which yields a detail for each violation."""
 
     def register(check: Check) -> Check:
         CHECKS[name] = check
@@ -146,199 +153,216 @@
     return register
 
 
-def audit(seen: Seen) -> list[Violation]:
-    """Return every promise that was not kept.
+def audit(observations: Observations) -> list[Violation]:
+    """Return all violations of the invariants.
 
     Examples
     --------
-    >>> asked = Asked("r1", "plain", False, 200, b"x answers r1", True)
-    >>> audit(Seen([asked], {"r1": 2}))
-    [Violation(promise='runs_once', detail='r1 ran 2 times')]
+    >>> request = CallerRequest("r1", "plain", False, 200, b"x answers r1", True)
+    >>> audit(Observations([request], {"r1": 2}))
+    [Violation(invariant='runs_once', detail='r1 ran 2 times')]
     """
     return [
         Violation(name, detail)
         for name, check in CHECKS.items()
-        for detail in check(seen)
+        for detail in check(observations)
     ]
 
 
-@promise("runs_once")
-def runs_once(seen: Seen) -> Iterable[str]:
-    """Find what may not repeat and ran more than once."""
-    for asked in seen.asked:
-        runs = seen.runs.get(asked.id, 0)
-        if not asked.allows_retry and runs > 1:
-            yield f"{asked.id} ran {runs} times"
+@invariant("runs_once")
+def runs_once(observations: Observations) -> Iterable[str]:
+    """Find non-repeatable requests that ran more than once."""
+    for request in observations.caller_requests:
+        runs = observations.runs.get(request.id, 0)
+        if not request.allows_retry and runs > 1:
+            yield f"{request.id} ran {runs} times"
 
 
-@promise("not_run_is_true")
-def not_run_is_true(seen: Seen) -> Iterable[str]:
-    """Find what was refused as not run and ran."""
-    for asked in seen.asked:
-        if asked.allows_retry or asked.status not in NOT_RUN:
+@invariant("not_run_is_true")
+def not_run_is_true(observations: Observations) -> Iterable[str]:
+    """Find requests that ran although their response says that they did not."""
+    for request in observations.caller_requests:
+        if request.allows_retry or request.status not in NOT_RUN:
             continue
-        if seen.runs.get(asked.id, 0):
-            yield f"{asked.id} was answered {asked.status} and ran"
+        if observations.runs.get(request.id, 0):
+            yield f"{request.id} was answered {request.status} and ran"
 
 
-@promise("asked_for")
-def asked_for(seen: Seen) -> Iterable[str]:
-    """Find what servers ran and no caller sent."""
-    known = {asked.id for asked in seen.asked}
-    for request_id in seen.runs:
+@invariant("asked_for")
+def asked_for(observations: Observations) -> Iterable[str]:
+    """Find requests that servers ran and that no caller sent."""
+    known = {request.id for request in observations.caller_requests}
+    for request_id in observations.runs:
         if request_id not in known:
             yield f"{request_id!r} was never sent"
 
 
-@promise("ones_own")
-def ones_own(seen: Seen) -> Iterable[str]:
-    """Find whole plain answers that belong to another request."""
-    for asked in seen.asked:
-        if asked.kind != "plain" or asked.status != OK or not asked.is_whole:
+@invariant("ones_own")
+def ones_own(observations: Observations) -> Iterable[str]:
+    """Find complete plain responses that belong to another request."""
+    for request in observations.caller_requests:
+        if request.kind != "plain" or request.status != OK or not request.is_whole:
             continue
-        if not asked.body.endswith(f"answers {asked.id}".encode()):
-            yield f"{asked.id} got {asked.body[:60]!r}"
+        if not request.body.endswith(f"answers {request.id}".encode()):
+            yield f"{request.id} got {request.body[:60]!r}"
 
 
-@promise("in_order")
-def in_order(seen: Seen) -> Iterable[str]:
-    """Find streams that are not whole events from the first one on, or end early."""
-    for asked in seen.asked:
-        if asked.kind != "stream" or asked.status != OK:
+@invariant("in_order")
+def in_order(observations: Observations) -> Iterable[str]:
+    """Find streams that are truncated or not a prefix of the expected stream."""
+    for request in observations.caller_requests:
+        if request.kind != "stream" or request.status != OK:
             continue
         events = [
             b"id: %d\ndata: piece %d\n\n" % (number, number)
-            for number in range(asked.events)
+            for number in range(request.events)
         ]
         whole = b"".join(events)
-        if asked.is_whole and asked.body != whole:
-            yield f"{asked.id} ended after {len(asked.body)} of {len(whole)} bytes"
-        elif not whole.startswith(asked.body):
-            yield f"{asked.id} is no beginning of its stream"
+        if request.is_whole and request.body != whole:
+            yield f"{request.id} ended after {len(request.body)} of {len(whole)} bytes"
+        elif not whole.startswith(request.body):
+            yield f"{request.id}: body is not a prefix of the expected stream"
 
 
-@promise("named_by_servers")
-def named_by_servers(seen: Seen) -> Iterable[str]:
-    """Find requests that went where another writer's entry leads."""
-    for request_id in seen.trapped:
-        yield f"{request_id!r} went to the trap"
+@invariant("named_by_servers")
+def named_by_servers(observations: Observations) -> Iterable[str]:
+    """Find requests that were sent to the address of a foreign entry."""
+    for request_id in observations.misrouted:
+        yield f"{request_id!r} was sent to the address of a foreign entry"
 
 
-@promise("one_usage_report")
-def one_usage_report(seen: Seen) -> Iterable[str]:
-    """Find usage windows that were told with different counts."""
-    for window in seen.usage_doubled:
+@invariant("one_usage_report")
+def one_usage_report(observations: Observations) -> Iterable[str]:
+    """Find usage windows that were reported with different counts."""
+    for window in observations.conflicting_usage_windows:
         yield f"window {window}"
 
 
-@promise("fences_rise")
-def fences_rise(seen: Seen) -> Iterable[str]:
-    """Find fencing numbers that fell, or have two holders."""
-    if seen.fences != sorted(seen.fences):
-        yield f"accepted in the order {seen.fences}"
+@invariant("fences_rise")
+def fences_rise(observations: Observations) -> Iterable[str]:
+    """Find fencing tokens that decreased or had two holders."""
+    if observations.fencing_tokens != sorted(observations.fencing_tokens):
+        yield f"accepted in the order {observations.fencing_tokens}"
     holder_of: dict[int, str] = {}
-    for holder, fence in seen.holders:
-        if holder_of.setdefault(fence, holder) != holder:
-            yield f"number {fence} of {holder_of[fence]} and {holder}"
+    for holder, token in observations.holders:
+        if holder_of.setdefault(token, holder) != holder:
+            yield f"token {token} held by {holder_of[token]} and {holder}"
 
 
 @dataclass(slots=True)
 class Version:
     """A configuration that the store confirmed."""
 
-    at_s: float
+    timestamp_s: float
     number: int
     prefixes: set[str]
 
 
-def versions_of(seen: Seen) -> list[Version]:
+def versions_of(observations: Observations) -> list[Version]:
     """Return the configurations in the order in which they were confirmed."""
     return [
         Version(
-            written.at_s,
-            written.spec["version"],
-            {route["pathPrefix"] for route in written.spec["routes"]},
+            change.timestamp_s,
+            change.spec["version"],
+            {route["pathPrefix"] for route in change.spec["routes"]},
         )
-        for written in seen.written
-        if written.kind == "config"
+        for change in observations.object_changes
+        if change.kind == "config"
     ]
 
 
-def allowed_versions(versions: list[Version], asked: Asked) -> list[Version]:
-    """Return the configurations that a request may be handled by."""
-    newer = [v for v in versions if asked.sent_s - APPLY_S < v.at_s <= asked.ended_s]
-    due = [v for v in versions if v.at_s <= asked.sent_s - APPLY_S]
+def allowed_versions(versions: list[Version], request: CallerRequest) -> list[Version]:
+    """Return the configurations that may be active while a request is handled."""
+    newer = [
+        v
+        for v in versions
+        if request.sent_s - APPLY_S < v.timestamp_s <= request.ended_s
+    ]
+    due = [v for v in versions if v.timestamp_s <= request.sent_s - APPLY_S]
     return due[-1:] + newer
 
 
-@promise("configuration_in_force")
-def configuration_in_force(seen: Seen) -> Iterable[str]:
-    """Find requests that were handled as only a replaced configuration allows."""
-    versions = versions_of(seen)
-    for asked in seen.asked:
-        if not seen.disturbances.is_calm(asked.node, asked.sent_s, asked.ended_s):
+@invariant("configuration_in_force")
+def configuration_in_force(observations: Observations) -> Iterable[str]:
+    """Find requests that were handled by a configuration that is no longer active."""
+    versions = versions_of(observations)
+    for request in observations.caller_requests:
+        if not observations.disturbances.is_undisturbed(
+            request.node, request.sent_s, request.ended_s
+        ):
             continue
-        allowed = allowed_versions(versions, asked)
-        prefix = f"/{asked.path.split('/')[1]}/" if asked.path else ""
+        allowed = allowed_versions(versions, request)
+        prefix = f"/{request.path.split('/')[1]}/" if request.path else ""
         if not prefix or not allowed:
             continue
-        if asked.status in UNKNOWN and all(prefix in v.prefixes for v in allowed):
-            yield f"{asked.id} got {asked.status}, in {allowed[0].number}: {prefix}"
-        if seen.runs.get(asked.id) and not any(prefix in v.prefixes for v in allowed):
-            yield f"{asked.id} ran, not in {allowed[0].number}: {prefix}"
+        if request.status in UNKNOWN and all(prefix in v.prefixes for v in allowed):
+            yield (
+                f"{request.id} got {request.status}, but {prefix} is in "
+                f"configuration {allowed[0].number}"
+            )
+        if observations.runs.get(request.id) and not any(
+            prefix in v.prefixes for v in allowed
+        ):
+            yield (
+                f"{request.id} ran, but {prefix} is not in "
+                f"configuration {allowed[0].number}"
+            )
 
 
-def leaving_since(seen: Seen, reached: Reached) -> float | None:
-    """Return since when a server has been leaving when a request reached it."""
+def draining_since(observations: Observations, arrival: ServerRequest) -> float | None:
+    """Return since when a server was draining when a request reached it, or None."""
     since_s = None
     address = None
     born_ms = 0
-    for written in seen.written:
-        if written.at_s > reached.at_s:
+    for change in observations.object_changes:
+        if change.timestamp_s > arrival.timestamp_s:
             break
-        entry = written.spec
-        if (written.kind, written.name) != ("servers", reached.server):
+        entry = change.spec
+        if (change.kind, change.name) != ("servers", arrival.server):
             continue
         if not isinstance(entry, dict) or entry.get("address") != (
             address or entry.get("address")
         ):
-            # Removed, or of another writer.
+            # Removed, or written by another writer.
             continue
         address = entry["address"]
         if entry.get("born", 0) < born_ms:
-            # A late word of an earlier life.
+            # A delayed write of an earlier incarnation.
             continue
         born_ms = entry.get("born", 0)
         if entry["state"] != "draining":
             since_s = None
         elif since_s is None:
-            since_s = written.at_s
+            since_s = change.timestamp_s
     return since_s
 
 
-@promise("leaving_get_nothing")
-def leaving_get_nothing(seen: Seen) -> Iterable[str]:
-    """Find requests that reached a server too long after it said that it leaves."""
-    leaving = {
-        written.name
-        for written in seen.written
-        if written.kind == "servers"
-        and isinstance(written.spec, dict)
-        and written.spec.get("state") == "draining"
+@invariant("leaving_get_nothing")
+def leaving_get_nothing(observations: Observations) -> Iterable[str]:
+    """Find requests that reached a server too long after it began to drain."""
+    draining = {
+        change.name
+        for change in observations.object_changes
+        if change.kind == "servers"
+        and isinstance(change.spec, dict)
+        and change.spec.get("state") == "draining"
     }
-    asked_of = {asked.id: asked for asked in seen.asked}
-    is_calm = seen.disturbances.is_calm
-    for reached in seen.reached:
-        if reached.server not in leaving or reached.id not in asked_of:
+    request_by_id = {request.id: request for request in observations.caller_requests}
+    is_undisturbed = observations.disturbances.is_undisturbed
+    for arrival in observations.server_requests:
+        if arrival.server not in draining or arrival.id not in request_by_id:
             continue
-        since_s = leaving_since(seen, reached)
-        if since_s is None or reached.at_s - since_s <= DRAIN_S:
+        since_s = draining_since(observations, arrival)
+        if since_s is None or arrival.timestamp_s - since_s <= DRAIN_S:
             continue
-        asked = asked_of[reached.id]
+        request = request_by_id[arrival.id]
         if (
-            is_calm(asked.node, asked.sent_s, reached.at_s)
-            and is_calm(reached.server, since_s, reached.at_s)
-            and is_calm(EVERYONE, since_s, reached.at_s)
+            is_undisturbed(request.node, request.sent_s, arrival.timestamp_s)
+            and is_undisturbed(arrival.server, since_s, arrival.timestamp_s)
+            and is_undisturbed(ALL_SUBJECTS, since_s, arrival.timestamp_s)
         ):
-            late_s = reached.at_s - since_s
-            yield f"{reached.id} reached {reached.server} {late_s:.2f} s after"
+            late_s = arrival.timestamp_s - since_s
+            yield (
+                f"{arrival.id} reached {arrival.server} {late_s:.2f} s after "
+                "it began to drain"
+            )
--- a/src/rosemaryknot/standin/users/cloud.py
+++ b/src/rosemaryknot/standin/users/cloud.py
@@ -1,4 +1,8 @@
-"""Stand-in of the users' cloud: usage and sizes of services, with fences."""
+"""Stand-in for the users' cloud: usage and service sizes, with fencing tokens.
+
+It receives the calls of duties, which are tasks that only the holder of a lease
+performs.
+"""
 
 import json
 from dataclasses import dataclass, field
@@ -14,9 +18,9 @@
 
 @dataclass(slots=True)
 class CloudCall:
-    """One call of a duty."""
+    """A call of a duty and the status that it was answered with."""
 
-    at_s: float
+    timestamp_s: float
     duty: str
     holder: str
     fencing: int
@@ -26,14 +30,14 @@
 
 @dataclass(slots=True)
 class CloudFaults:
-    """What is wrong with the cloud.
+    """Active faults of the cloud.
 
     Attributes
     ----------
     lose_calls : int
-        So many calls are carried out and not answered.
+        Number of following calls that are carried out but not answered.
     exhausted_zones : set of str
-        Zones without reclaimable servers.
+        Zones whose capacity of reclaimable servers is exhausted.
     """
 
     lose_calls: int = 0
@@ -41,31 +45,31 @@
 
 
 class CloudStandIn:
-    """The cloud.
+    """Stand-in for the cloud.
 
     Attributes
     ----------
     calls : list of CloudCall
-        All calls with what they were answered.
+        All calls, with the status of their responses.
     usage : dict of int to dict
-        Counts by window, as first accepted.
-    doubled : list of int
-        Windows that were told twice with different counts.
+        Counts by window, as accepted first.
+    conflicting_windows : list of int
+        Windows whose usage was reported twice with different counts.
     sizes : dict of tuple to int
-        Servers ordered by service, zone and kind.
+        Number of servers ordered, by service, zone and whether reclaimable.
     """
 
     def __init__(self) -> None:
         self.calls: list[CloudCall] = []
         self.usage: dict[int, dict] = {}
-        self.doubled: list[int] = []
+        self.conflicting_windows: list[int] = []
         self.sizes: dict[tuple[str, str, bool], int] = {}
-        self.fences: dict[str, int] = {}
+        self.fencing_tokens: dict[str, int] = {}
         self.faults = CloudFaults()
         self.server = RawServer(self.handle)
 
     async def handle(self, request: RawRequest, wire: RawWire) -> None:
-        """Answer a call."""
+        """Handle a call."""
         body = json.loads(request.body)
         holder = request.headers.get("rosemaryknot-duty-holder", "")
         fencing = int(request.headers.get("rosemaryknot-fencing-token", "0"))
@@ -80,17 +84,17 @@
         await wire.answer(status, JSON, b"{}")
 
     def carry_out(self, duty: str, body: dict, fencing: int) -> int:
-        """Carry a call out if its fence is not older; return the status."""
+        """Carry out a call unless its fencing token is outdated; return the status."""
         subject = duty
         if duty == "scale":
             subject = f"{duty}/{body['service']}/{body['zone']}"
-        if fencing < self.fences.get(subject, 0):
+        if fencing < self.fencing_tokens.get(subject, 0):
             return 409
-        self.fences[subject] = fencing
+        self.fencing_tokens[subject] = fencing
         if duty == "usage":
             known = self.usage.setdefault(body["windowId"], body["counts"])
             if known != body["counts"]:
-                self.doubled.append(body["windowId"])
+                self.conflicting_windows.append(body["windowId"])
             return 200
         is_reclaimable = bool(body.get("spot"))
         if (
--- /dev/null
+++ b/src/rosemaryknot/standin/users/disturbances.py
@@ -0,0 +1,75 @@
+"""Records of which nodes and servers a fault disturbed, and when.
+
+Invariants with a time limit are checked only for undisturbed nodes and servers.
+"""
+
+import math
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+
+import trio
+
+__all__ = ["RECOVERY_S", "ALL_SUBJECTS", "Disturbance", "Disturbances"]
+
+# Time after the end of a disturbance until invariants with a time limit hold again.
+RECOVERY_S = 3.0
+ALL_SUBJECTS = ""
+
+
+@dataclass(slots=True)
+class Disturbance:
+    """A period in which a fault disturbs a subject.
+
+    Attributes
+    ----------
+    subject : str
+        Name of the node or server; `ALL_SUBJECTS` for all of them.
+    start_s, end_s : float
+        When it began and ended, in trio time.
+    """
+
+    subject: str
+    start_s: float
+    end_s: float = math.inf
+
+
+class Disturbances:
+    """Disturbances during a play or a soak.
+
+    Examples
+    --------
+    >>> disturbances = Disturbances()
+    >>> disturbances.spans.append(Disturbance("n1", 10.0, 12.0))
+    >>> disturbances.is_undisturbed("n1", 14.0, 15.0)
+    False
+    >>> disturbances.is_undisturbed("n1", 15.5, 16.0)
+    True
+    >>> disturbances.is_undisturbed("n2", 11.0, 12.0)
+    True
+    """
+
+    def __init__(self) -> None:
+        self.spans: list[Disturbance] = []
+
+    @contextmanager
+    def disturb(self, subject: str = ALL_SUBJECTS) -> Iterator[None]:
+        """Record a subject as disturbed while the block runs."""
+        span = Disturbance(subject, trio.current_time())
+        self.spans.append(span)
+        try:
+            yield
+        finally:
+            span.end_s = trio.current_time()
+
+    def is_undisturbed(self, subject: str, start_s: float, end_s: float) -> bool:
+        """Return whether no disturbance of a subject overlaps a period.
+
+        A disturbance counts until `RECOVERY_S` after its end.
+        """
+        return not any(
+            span.subject in (subject, ALL_SUBJECTS)
+            and span.start_s <= end_s
+            and span.end_s >= start_s - RECOVERY_S
+            for span in self.spans
+        )
--- a/src/rosemaryknot/standin/users/foreign.py
+++ b/src/rosemaryknot/standin/users/foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another writer puts among those of the servers."""
+"""Invalid server entries, as another writer might put them in the store."""
 
 import random
 from collections.abc import Callable
@@ -6,88 +6,88 @@
 
 from rosemaryknot.standin.users.store import RawValue
 
-__all__ = ["FOREIGN", "foreign_value"]
+__all__ = ["FOREIGN_ENTRIES", "foreign_value"]
 
-Spoil = Callable[[dict[str, Any], random.Random], Any]
-FOREIGN: dict[str, Spoil] = {}
+Corruption = Callable[[dict[str, Any], random.Random], Any]
+FOREIGN_ENTRIES: dict[str, Corruption] = {}
 FIELDS = ("service", "address", "zone", "version", "slots", "state", "sequence")
-DEPTH = 3000
+NESTING_DEPTH = 3000
 
 
-def foreign(name: str) -> Callable[[Spoil], Spoil]:
-    """Register a way in which an entry is none of a server's."""
+def foreign(name: str) -> Callable[[Corruption], Corruption]:
+    """Register a way to make a server entry invalid."""
 
-    def register(spoil: Spoil) -> Spoil:
-        FOREIGN[name] = spoil
-        return spoil
+    def register(corrupt: Corruption) -> Corruption:
+        FOREIGN_ENTRIES[name] = corrupt
+        return corrupt
 
     return register
 
 
-def foreign_value(way: str, sound: dict[str, Any], rng: random.Random) -> Any:
-    """Return the value of such an entry, made from a sound one."""
-    return FOREIGN[way](dict(sound), rng)
+def foreign_value(way: str, valid: dict[str, Any], rng: random.Random) -> Any:
+    """Return an invalid entry that is derived from a valid one."""
+    return FOREIGN_ENTRIES[way](dict(valid), rng)
 
 
 @foreign("field_missing")
 def field_missing(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Leave a field out."""
+    """Omit a field."""
     del entry[rng.choice(FIELDS)]
     return entry
 
 
 @foreign("other_type")
 def other_type(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Give a field another type."""
+    """Set a field to a value of a wrong type."""
     entry[rng.choice((*FIELDS, "born"))] = rng.choice(([], {}, True, -1.5))
     return entry
 
 
 @foreign("unknown_state")
 def unknown_state(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Name a state that there is not."""
+    """Set an unknown state."""
     return entry | {"state": rng.choice(("resting", "", "READY"))}
 
 
 @foreign("no_address")
 def no_address(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Name an address that there cannot be."""
+    """Set an invalid address."""
     wrong = ("10.1.0.9:99999", "10.1.0.9:0", "a.example:80", "10.1.0.9", ":80")
     return entry | {"address": rng.choice(wrong)}
 
 
 @foreign("no_object")
 def no_object(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Write a value that is no object."""
+    """Return a JSON value that is not an object."""
     return rng.choice((None, 7, "ready", [entry], True))
 
 
 @foreign("not_text")
 def not_text(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Write bytes that are no text."""
+    """Return bytes that are not valid UTF-8."""
     return RawValue(b'{"service": "\xff\xfe", "address": 7}')
 
 
 @foreign("not_json")
 def not_json(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Write bytes that are no value."""
+    """Return bytes that are not valid JSON."""
     return RawValue(rng.choice((b"{service: ready}", b"NaN", b"<entry/>")))
 
 
 @foreign("nested")
 def nested(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Nest deeper than a parser follows."""
-    return RawValue(b"[" * DEPTH + b"]" * DEPTH)
+    """Return arrays that are nested more deeply than the parser allows."""
+    return RawValue(b"[" * NESTING_DEPTH + b"]" * NESTING_DEPTH)
 
 
 @foreign("huge_number")
 def huge_number(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Write numbers that no message takes."""
+    """Return a number that is too large for a message."""
     digits = rng.choice((30, 5000))
     return RawValue(b'{"slots": ' + b"9" * digits + b"}")
 
 
 @foreign("half_character")
 def half_character(entry: dict[str, Any], rng: random.Random) -> Any:
-    """Write a text that no encoding takes."""
+    """Set a lone surrogate, which cannot be encoded."""
     return entry | {"zone": "\ud800"}
--- a/src/rosemaryknot/standin/users/play.py
+++ b/src/rosemaryknot/standin/users/play.py
@@ -1,4 +1,7 @@
-"""Plays a load and faults against nodes on the stand-ins, in virtual time."""
+"""Runs a load and faults against nodes and stand-ins, in virtual time.
+
+A play is the description of one such run.
+"""
 
 import json
 import random
@@ -10,18 +13,18 @@
 import trio
 
 from rosemaryknot.standin.users.audit import (
-    Asked,
-    Reached,
-    Seen,
+    CallerRequest,
+    Observations,
+    ServerRequest,
     Violation,
     audit,
 )
-from rosemaryknot.standin.users.changes import added_path
+from rosemaryknot.standin.users.configuration_changes import added_path
 from rosemaryknot.standin.users.play_faults import (
     PLAY_FAULTS,
     draw_changes,
     draw_fault,
-    draw_server_life,
+    draw_server_entry_fault,
 )
 from rosemaryknot.standin.users.servers import EVENT_TOKENS
 from rosemaryknot.standin.users.system import (
@@ -44,28 +47,28 @@
 OK = 200
 EVENTS = 50 // EVENT_TOKENS
 SLOW_LINK_BYTES_PER_S = 5e6 / 8
-# After the last request, so that what is under way ends and usage is told.
+# Time after the last request in which pending requests end and usage is reported.
 SETTLE_S = 14.0
 
 
 @dataclass(slots=True)
 class Play:
-    """What is played.
+    """Description of a run: size of the system, load and faults.
 
     Attributes
     ----------
     nodes, plain, models : int
-        How many there are.
+        Number of nodes, plain servers and model servers.
     length_s : float
-        How long requests come.
+        Duration of the load.
     load : dict of str to float
-        Requests in a second by route: plan, ask, book, stock.
+        Requests per second by route: plan, ask, book, stock.
     added_per_s : float
-        Requests in a second on routes that changes add and drop.
+        Requests per second on routes that configuration changes add and drop.
     link_bytes_per_s : float
-        Bandwidth of each node's link; 0 for links without a limit.
+        Bandwidth of each node's link; 0 for no limit.
     faults : list of dict
-        ``at``, ``kind`` (a name in `PLAY_FAULTS`), and what the kind takes.
+        ``at``, ``kind`` (a name in `PLAY_FAULTS`), and the parameters of that kind.
     """
 
     nodes: int = 3
@@ -82,16 +85,16 @@
 
 @dataclass(slots=True)
 class PlayResult:
-    """What became of a play.
+    """Result of a play.
 
     Attributes
     ----------
     outcomes : collections.Counter
-        Answers by route and status.
+        Number of responses by route and status.
     violations : list of Violation
-        Promises that were not kept.
+        Violated invariants.
     faults : collections.Counter
-        Faults that happened, by kind.
+        Number of faults that were applied, by kind.
     """
 
     outcomes: Counter
@@ -99,7 +102,7 @@
     faults: Counter
 
     def to_json(self) -> str:
-        """Return one line for programs."""
+        """Return the result as one line of JSON."""
         return json.dumps(
             {
                 "requests": sum(self.outcomes.values()),
@@ -116,46 +119,48 @@
 
 
 async def play_load(
-    system: PlatformSystem, play: Play, rng: random.Random, seen: Seen
+    system: PlatformSystem, play: Play, rng: random.Random, observations: Observations
 ) -> None:
-    """Send requests to all nodes and note what each got."""
-    until_s = trio.current_time() + play.length_s
+    """Send requests to all nodes and record their responses."""
+    end_s = trio.current_time() + play.length_s
     kinds, rates = zip(*play.load.items(), strict=True)
     number = 0
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(ask_added, system, play, rng.random(), seen, nursery)
-        while trio.current_time() < until_s:
+        nursery.start_soon(
+            request_added_routes, system, play, rng.random(), observations, nursery
+        )
+        while trio.current_time() < end_s:
             await trio.sleep(rng.expovariate(sum(rates)))
             kind = rng.choices(kinds, rates)[0]
             node = rng.choice(list(system.nodes))
-            asked = new_asked(kind, f"{kind}-{number}", node, f"/{kind}/x")
-            nursery.start_soon(ask, system, asked, seen)
+            request = new_request(kind, f"{kind}-{number}", node, f"/{kind}/x")
+            nursery.start_soon(ask, system, request, observations)
             number += 1
 
 
-async def ask_added(
+async def request_added_routes(
     system: PlatformSystem,
     play: Play,
     seed: float,
-    seen: Seen,
+    observations: Observations,
     nursery: trio.Nursery,
 ) -> None:
-    """Send requests on the routes that changes of the configuration add and drop."""
+    """Send requests on the routes that configuration changes add and drop."""
     rng = random.Random(seed)
-    until_s = trio.current_time() + play.length_s
+    end_s = trio.current_time() + play.length_s
     number = 0
-    while play.added_per_s and trio.current_time() < until_s:
+    while play.added_per_s and trio.current_time() < end_s:
         await trio.sleep(rng.expovariate(play.added_per_s))
         node = rng.choice(list(system.nodes))
         path = added_path(system.store, rng)
-        asked = new_asked("added", f"added-{number}", node, path)
-        nursery.start_soon(ask, system, asked, seen)
+        request = new_request("added", f"added-{number}", node, path)
+        nursery.start_soon(ask, system, request, observations)
         number += 1
 
 
-def new_asked(kind: str, name: str, node: str, path: str) -> Asked:
-    """Return a request that is about to be sent."""
-    return Asked(
+def new_request(kind: str, name: str, node: str, path: str) -> CallerRequest:
+    """Return the record of a request that is about to be sent."""
+    return CallerRequest(
         name,
         "stream" if kind in STREAMS else "plain",
         kind in REPEATABLE,
@@ -165,30 +170,32 @@
     )
 
 
-async def ask(system: PlatformSystem, asked: Asked, seen: Seen) -> None:
-    """Send one request and note what it got."""
-    seen.asked.append(asked)
-    asked.sent_s = asked.ended_s = trio.current_time()
-    headers = MODEL_HEADERS if asked.kind == "stream" else {}
-    method = "GET" if asked.path.startswith("/stock/") else "POST"
+async def ask(
+    system: PlatformSystem, request: CallerRequest, observations: Observations
+) -> None:
+    """Send a request and record its response."""
+    observations.caller_requests.append(request)
+    request.sent_s = request.ended_s = trio.current_time()
+    headers = MODEL_HEADERS if request.kind == "stream" else {}
+    method = "GET" if request.path.startswith("/stock/") else "POST"
     try:
         answer = await system.ask(
-            asked.path, asked.node, method=method, request_id=asked.id, **headers
+            request.path, request.node, method=method, request_id=request.id, **headers
         )
     except (OSError, trio.BrokenResourceError):
         return
     finally:
-        asked.ended_s = trio.current_time()
-    asked.status = answer.status
-    asked.body = answer.body
-    asked.is_whole = answer.is_whole
+        request.ended_s = trio.current_time()
+    request.status = answer.status
+    request.body = answer.body
+    request.is_whole = answer.is_whole
 
 
 async def run_play(play: Play, seed: int) -> PlayResult:
-    """Play, and hold what was seen to the promises."""
+    """Run a play and check the invariants."""
     rng = random.Random(seed)
-    seen = Seen()
-    happened: Counter = Counter()
+    observations = Observations()
+    fault_counts: Counter = Counter()
     async with platform_system(
         seed,
         nodes=play.nodes,
@@ -200,45 +207,47 @@
             system.limit_links(play.link_bytes_per_s)
         await trio.sleep(3)
 
-        async def happen(fault: dict[str, Any]) -> None:
+        async def apply_fault(fault: dict[str, Any]) -> None:
             await trio.sleep(fault["at"])
-            happened[fault["kind"]] += 1
+            fault_counts[fault["kind"]] += 1
             await PLAY_FAULTS[fault["kind"]](system, fault)
 
         for fault in play.faults:
-            system.nursery.start_soon(happen, fault)
-        await play_load(system, play, rng, seen)
+            system.nursery.start_soon(apply_fault, fault)
+        await play_load(system, play, rng, observations)
         await trio.sleep(SETTLE_S)
-        note_seen(system, seen)
-    outcomes = Counter((a.id.partition("-")[0], a.status) for a in seen.asked)
-    return PlayResult(outcomes, audit(seen), happened)
+        record_observations(system, observations)
+    outcomes = Counter(
+        (a.id.partition("-")[0], a.status) for a in observations.caller_requests
+    )
+    return PlayResult(outcomes, audit(observations), fault_counts)
 
 
-def note_seen(system: PlatformSystem, seen: Seen) -> None:
-    """Take over what servers and cloud have seen."""
+def record_observations(system: PlatformSystem, observations: Observations) -> None:
+    """Add the records of the servers, the store and the cloud."""
     for arrival in system.ledger.arrivals:
         if arrival.has_run:
-            seen.runs[arrival.id] = seen.runs.get(arrival.id, 0) + 1
+            observations.runs[arrival.id] = observations.runs.get(arrival.id, 0) + 1
         if arrival.ended != "refused":
-            reached = Reached(arrival.server, arrival.id, arrival.at_s)
-            seen.reached.append(reached)
-    seen.written = system.store.written
-    seen.disturbances = system.disturbances
-    seen.trapped = [arrival.id for arrival in system.trap.arrivals]
+            arrival = ServerRequest(arrival.server, arrival.id, arrival.timestamp_s)
+            observations.server_requests.append(arrival)
+    observations.object_changes = system.store.object_changes
+    observations.disturbances = system.disturbances
+    observations.misrouted = [arrival.id for arrival in system.trap.arrivals]
     accepted = [call for call in system.cloud.calls if call.status == 200]
-    seen.usage_doubled = system.cloud.doubled
-    seen.fences = [call.fencing for call in accepted]
-    seen.holders = [(call.holder, call.fencing) for call in accepted]
+    observations.conflicting_usage_windows = system.cloud.conflicting_windows
+    observations.fencing_tokens = [call.fencing for call in accepted]
+    observations.holders = [(call.holder, call.fencing) for call in accepted]
 
 
 def random_play(seed: int) -> Play:
-    """Return a play with faults drawn by a seed, some of which meet."""
+    """Return a play with random faults of a seed, some of which overlap."""
     rng = random.Random(seed)
     play = Play(nodes=rng.choice((1, 2, 3, 4)))
     for _ in range(rng.randint(3, 7)):
         play.faults.append(draw_fault(rng, play.nodes))
     for _ in range(rng.randint(1, 4)):
-        play.faults.append(draw_server_life(rng))
+        play.faults.append(draw_server_entry_fault(rng))
     for _ in range(rng.choice((0, 1, 2))):
         play.faults.append(draw_changes(rng))
     play.link_bytes_per_s = rng.choice((0.0, SLOW_LINK_BYTES_PER_S))
@@ -251,14 +260,16 @@
     Raises
     ------
     ValueError
-        If it names a field or a kind of fault that there is not.
+        If the file has an unknown field or an unknown kind of fault.
     """
     data = json.loads(path.read_text(encoding="utf-8"))
     unknown = set(data) - set(Play.__slots__)
     if unknown:
-        raise ValueError(f"unknown fields: {', '.join(sorted(unknown))}")
+        raise ValueError(f"unknown fields in play: {', '.join(sorted(unknown))}")
     for fault in data.get("faults", []):
         if fault.get("kind") not in PLAY_FAULTS:
             kinds = ", ".join(sorted(PLAY_FAULTS))
-            raise ValueError(f"unknown kind {fault.get('kind')!r}; there are {kinds}")
+            raise ValueError(
+                f"unknown kind of fault {fault.get('kind')!r}; known kinds: {kinds}"
+            )
     return Play(**data)
--- a/src/rosemaryknot/standin/users/play_faults.py
+++ b/src/rosemaryknot/standin/users/play_faults.py
@@ -1,4 +1,7 @@
-"""Faults that a play in virtual time lets happen, and how they are drawn."""
+"""Faults of a play in virtual time, and functions that draw random ones.
+
+Each fault is a coroutine that starts the fault and returns when it is over.
+"""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -7,9 +10,9 @@
 
 import trio
 
-from rosemaryknot.standin.users.changes import changed_document
-from rosemaryknot.standin.users.contact import EVERYONE
-from rosemaryknot.standin.users.foreign import FOREIGN, foreign_value
+from rosemaryknot.standin.users.configuration_changes import changed_document
+from rosemaryknot.standin.users.disturbances import ALL_SUBJECTS
+from rosemaryknot.standin.users.foreign_entries import FOREIGN_ENTRIES, foreign_value
 from rosemaryknot.standin.users.servers import FAULTS as SERVER_FAULTS
 from rosemaryknot.standin.users.system import STORE, PlatformSystem
 
@@ -17,11 +20,11 @@
     "PLAY_FAULTS",
     "draw_changes",
     "draw_fault",
-    "draw_server_life",
+    "draw_server_entry_fault",
 ]
 
 RESTART_S = 0.5
-# After so long a server writes its entry again, as with its heartbeat.
+# Interval after which a server writes its entry again, as its heartbeat does.
 HEARTBEAT_S = 1.0
 NODES_NETWORK = "10.2.0."
 SERVERS = ("p0", "p1", "p2", "m0", "m1", "m2")
@@ -31,7 +34,7 @@
 
 
 def play_fault(kind: str) -> Callable[[PlayFault], PlayFault]:
-    """Register a kind of fault, which returns when it is over."""
+    """Register a kind of fault."""
 
     def register(fault: PlayFault) -> PlayFault:
         PLAY_FAULTS[kind] = fault
@@ -42,9 +45,9 @@
 
 @play_fault("store")
 async def store_fault(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let the store be ``mode`` for ``for_s``, for one node or all."""
+    """Apply the store fault ``mode`` for ``for_s``, for one node or all."""
     hosts = [fault["host"]] if "host" in fault else []
-    subject = node_of(hosts[0]) if hosts else EVERYONE
+    subject = node_of(hosts[0]) if hosts else ALL_SUBJECTS
     with system.disturbances.disturb(subject):
         system.store.faults.begin(fault["mode"], *hosts)
         await trio.sleep(fault["for_s"])
@@ -53,20 +56,20 @@
 
 @play_fault("lost_writes")
 async def lost_writes(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let ``count`` writes be done late and not be answered."""
+    """Apply the next ``count`` writes late and do not answer them."""
     system.store.faults.delay_writes_s = fault.get("late_s", 0.0)
     system.store.faults.lose_writes += fault["count"]
 
 
 @play_fault("compact")
 async def compact(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let the store forget its history."""
+    """Drop the store's history."""
     system.store.forget_history()
 
 
 @play_fault("lapse")
 async def lapse(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let all servers' entries go and come back after ``for_s``."""
+    """Remove all servers' entries and write them again after ``for_s``."""
     for name in list(system.store.objects["servers"]):
         system.store.remove("servers", name)
     await trio.sleep(fault["for_s"])
@@ -76,13 +79,16 @@
 
 @play_fault("lost_duties")
 async def lost_duties(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let ``count`` calls of duties be carried out and not be answered."""
+    """Carry out the next ``count`` calls of duties but do not answer them.
+
+    A duty is a task that only the holder of a lease performs.
+    """
     system.cloud.faults.lose_calls += fault["count"]
 
 
 @play_fault("kill")
 async def kill(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Kill a node and start it again after ``for_s``."""
+    """Kill a node and restart it after ``for_s``."""
     name = fault["node"]
     if name in system.down:
         return
@@ -95,7 +101,7 @@
 
 @play_fault("stop")
 async def stop(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Stop a node as planned and start it again."""
+    """Shut a node down gracefully and restart it."""
     name = fault["node"]
     if name in system.down:
         return
@@ -109,21 +115,21 @@
 
 
 async def start_again(system: PlatformSystem, name: str) -> None:
-    """Start the next life of a node."""
+    """Start the next incarnation of a node."""
     await system.add_node(int(name[1:]), is_first_start=False, duties=["usage"])
     system.down.discard(name)
 
 
 @play_fault("server")
 async def server_fault(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let the next ``count`` requests of a server meet a fault of its own."""
+    """Apply a server fault to the next ``count`` requests of a server."""
     server = system.servers[fault["server"]]
     server.faults.extend([fault["fault"]] * fault["count"])
 
 
 @play_fault("mute")
 async def mute(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let a server say nothing for ``for_s``."""
+    """Keep a server from responding for ``for_s``."""
     server = system.servers[fault["server"]]
     server.is_mute = True
     await trio.sleep(fault["for_s"])
@@ -132,7 +138,7 @@
 
 @play_fault("drain")
 async def drain(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let a server say that it leaves, and come back under another id."""
+    """Set a server to draining, remove it, and start one under another id."""
     old = system.servers[fault["server"]]
     system.store.put("servers", old.id, old.entry | {"state": "draining"})
     await trio.sleep(fault["for_s"])
@@ -143,9 +149,9 @@
 
 @play_fault("cut")
 async def cut(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Cut a node off from another host for ``for_s``."""
+    """Partition a node from another host for ``for_s``."""
     with ExitStack() as stack:
-        # Nodes that are cut off from each other only reach the store all the same.
+        # A partition between nodes is no disturbance, as both still reach the store.
         if not fault["from"].startswith(NODES_NETWORK):
             disturbed = system.disturbances.disturb(node_of(fault["host"]))
             stack.enter_context(disturbed)
@@ -165,10 +171,10 @@
 
 @play_fault("restart")
 async def restart(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let a server start again ``times`` times, each time ``down_s`` later.
+    """Restart a server ``times`` times, each time after ``down_s``.
 
-    ``late`` lets a write of the life before be carried out after the last start, until
-    the next heartbeat.
+    With ``late``, a delayed write of an earlier incarnation is applied after the last
+    restart; the server overwrites it with its next heartbeat.
     """
     name = fault["server"]
     if name in system.down:
@@ -186,9 +192,10 @@
 
 @play_fault("foreign")
 async def foreign(system: PlatformSystem, fault: dict[str, Any]) -> None:
-    """Let another writer write an entry, over a server's own or beside them.
+    """Write a foreign entry, over the entry of a server or beside them.
 
-    It leads to the trap. Over a server's own it stands until its next heartbeat.
+    The entry has the address of the trap, a server that must receive no request. Over
+    the entry of a server it remains until the server's next heartbeat.
     """
     rng = random.Random(fault["at"])
     value = foreign_value(fault["way"], system.trap.entry, rng)
@@ -199,25 +206,25 @@
         return
     name = f"x-{fault['way']}-{fault['at']}"
     system.store.put("servers", name, value)
-    system.store.put_stray("servers", fault["way"])
+    system.store.put_invalid_item("servers", fault["way"])
     await trio.sleep(fault["for_s"])
     system.store.remove("servers", name)
 
 
 async def write_again(system: PlatformSystem, server: str) -> None:
-    """Let a server that still has an entry write it with its next heartbeat."""
+    """Write a server's entry after a heartbeat interval, if it still has one."""
     await trio.sleep(HEARTBEAT_S)
     if server in system.store.objects["servers"]:
         system.store.put("servers", server, system.servers[server].entry)
 
 
 def node_of(host: str) -> str:
-    """Return the name of the node on a host."""
+    """Return the name of the node with a host address."""
     return f"n{int(host.rpartition('.')[2]) - 1}"
 
 
 def draw_changes(rng: random.Random) -> dict[str, Any]:
-    """Draw a series of changes of the configuration, of a large one at times."""
+    """Draw a series of configuration changes, some with a large configuration."""
     return {
         "kind": "configure",
         "at": round(rng.uniform(0.5, 10.0), 2),
@@ -228,7 +235,7 @@
 
 
 def draw_fault(rng: random.Random, nodes: int) -> dict[str, Any]:
-    """Draw one fault of any kind."""
+    """Draw a fault other than those of `draw_server_entry_fault`."""
     node = rng.randrange(nodes)
     host = f"10.2.0.{node + 1}"
     server = rng.choice(SERVERS)
@@ -260,8 +267,8 @@
     return {"at": round(rng.uniform(0.5, 15.0), 2), "for_s": for_s} | drawn
 
 
-def draw_server_life(rng: random.Random) -> dict[str, Any]:
-    """Draw a restart of a server under its id, or an entry of another writer."""
+def draw_server_entry_fault(rng: random.Random) -> dict[str, Any]:
+    """Draw a restart of a server under the same id, or a foreign entry."""
     server = rng.choice(SERVERS)
     drawn = rng.choice(
         (
@@ -272,10 +279,10 @@
                 "down_s": rng.choice((0.0, 0.05, 1.0)),
                 "late": rng.random() < 0.5,
             },
-            {"kind": "foreign", "way": rng.choice(sorted(FOREIGN))},
+            {"kind": "foreign", "way": rng.choice(sorted(FOREIGN_ENTRIES))},
             {
                 "kind": "foreign",
-                "way": rng.choice(sorted(FOREIGN)),
+                "way": rng.choice(sorted(FOREIGN_ENTRIES)),
                 "server": server,
             },
         )
--- a/src/rosemaryknot/standin/users/raw_http.py
+++ b/src/rosemaryknot/standin/users/raw_http.py
@@ -1,4 +1,4 @@
-"""An HTTP server that can also misbehave: cut, reset, add and withhold bytes."""
+"""An HTTP server whose handler can truncate, reset, add and withhold bytes."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -17,20 +17,22 @@
 
 @dataclass(slots=True)
 class RawRequest:
-    """A request, read whole.
+    """A complete request.
 
     Attributes
     ----------
     method, target, path : str
-        As they came; the path without its query.
+        As received; the path without its query.
     query : dict of str to str
-        Decoded.
+        Decoded query parameters.
     headers : dict of str to str
-        Names in lower case; the last one of a name.
+        By name in lower case; of a repeated header the last value.
     body : bytes
-        As it came.
+        As received.
     caller : str
-        Host of the caller, where the network tells.
+        Host of the caller; empty if the network does not provide it.
+    names : list of str
+        Header names in the order received.
     """
 
     method: str
@@ -55,7 +57,7 @@
         await self.stream.send_all(data)
 
     async def head(self, status: int, headers: dict[str, str]) -> None:
-        """Send the head of an answer."""
+        """Send the head of a response."""
         lines = [f"HTTP/1.1 {status} x"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
         await self.send(("\r\n".join(lines) + "\r\n\r\n").encode())
@@ -63,22 +65,22 @@
     async def answer(
         self, status: int, headers: dict[str, str] | None = None, body: bytes = b""
     ) -> None:
-        """Send a whole answer with its length."""
+        """Send a complete response with its length."""
         headers = dict(headers or {}) | {"Content-Length": str(len(body))}
         lines = [f"HTTP/1.1 {status} x"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
         await self.send(("\r\n".join(lines) + "\r\n\r\n").encode() + body)
 
     async def chunk(self, data: bytes) -> None:
-        """Send one chunk of a body without length."""
+        """Send one chunk of a chunked body."""
         await self.send(b"%x\r\n%s\r\n" % (len(data), data))
 
     async def last_chunk(self) -> None:
-        """End a body of chunks."""
+        """End a chunked body."""
         await self.send(b"0\r\n\r\n")
 
     def close(self) -> None:
-        """Close the connection once the answer is out."""
+        """Close the connection after the response is sent."""
         self.is_open = False
 
     def reset(self) -> None:
@@ -94,12 +96,12 @@
 
 
 class RawServer:
-    """Reads requests and hands them to a handler that writes bytes itself.
+    """Server that passes requests to a handler, which writes the response bytes.
 
     Parameters
     ----------
     handler : callable
-        Answers a request.
+        Called with a request and the sending side of its connection.
     """
 
     def __init__(self, handler: RawHandler) -> None:
@@ -131,10 +133,10 @@
     async def answer(
         self, request: RawRequest, wire: RawWire, stream: trio.abc.HalfCloseableStream
     ) -> None:
-        """Have a request answered; a caller that leaves cancels it."""
+        """Run the handler for a request; cancel it if the caller disconnects."""
         async with trio.open_nursery() as nursery:
 
-            async def watch() -> None:
+            async def watch_disconnect() -> None:
                 try:
                     if not await stream.receive_some(READ_BYTES):
                         wire.is_open = False
@@ -142,7 +144,7 @@
                     wire.is_open = False
                 nursery.cancel_scope.cancel()
 
-            nursery.start_soon(watch)
+            nursery.start_soon(watch_disconnect)
             try:
                 await self.handler(request, wire)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -152,7 +154,7 @@
     async def read(
         self, stream: trio.abc.HalfCloseableStream, rest: bytes
     ) -> tuple[RawRequest, bytes] | None:
-        """Return the next request and what came behind it, or None at the end."""
+        """Return the next request and the bytes after it, or None at the end."""
         conn = h11.Connection(h11.SERVER)
         if rest:
             conn.receive_data(rest)
@@ -171,13 +173,13 @@
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 caller = str(getattr(stream, "far", ""))
-                return request_of(head, body, caller), conn.trailing_data[0]
+                return make_request(head, body, caller), conn.trailing_data[0]
             else:
                 return None
 
 
-def request_of(head: h11.Request, body: bytes, caller: str) -> RawRequest:
-    """Return a request in plain types."""
+def make_request(head: h11.Request, body: bytes, caller: str) -> RawRequest:
+    """Convert an h11 request to a `RawRequest`."""
     target = head.target.decode("latin-1")
     path, _, query = target.partition("?")
     headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in head.headers}
--- a/src/rosemaryknot/standin/users/servers.py
+++ b/src/rosemaryknot/standin/users/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' backend servers, which can misbehave in their known ways."""
+"""Stand-ins for the users' backend servers and the faults that they can show."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -17,24 +17,24 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A request as it reached the server.
+    """A request that reached a server.
 
     Attributes
     ----------
     request : RawRequest
-        What came.
-    at_s : float
-        When, in trio time.
+        The request as received.
+    timestamp_s : float
+        When the request arrived, in trio time.
     server : str
         Id of the server.
     has_run : bool
-        Whether the server worked on it.
+        Whether the server executed the request.
     ended : str
-        ``whole``, ``cut`` or ``refused``.
+        ``whole`` (response complete), ``cut`` (response incomplete) or ``refused``.
     """
 
     request: RawRequest
-    at_s: float
+    timestamp_s: float
     server: str = ""
     has_run: bool = False
     ended: str = "cut"
@@ -48,7 +48,7 @@
 def server_entry(
     service: str, address: Any, zone: str, born_ms: int | None
 ) -> dict[str, Any]:
-    """Return what a server writes of itself; older software tells no birth."""
+    """Return a server's entry in the store; older software writes no birth time."""
     born = {} if born_ms is None else {"born": born_ms}
     return {
         "service": service,
@@ -67,7 +67,7 @@
 
 
 def server_fault(name: str) -> Callable[[Fault], Fault]:
-    """Register a way to misbehave."""
+    """Register a fault of a server."""
 
     def register(fault: Fault) -> Fault:
         FAULTS[name] = fault
@@ -78,35 +78,35 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """What all servers of a test have seen."""
+    """Requests that reached the servers of a test."""
 
     arrivals: list[Arrival] = field(default_factory=list)
 
     def runs_of(self, request_id: str) -> int:
-        """Return how often a request ran."""
+        """Return the number of times that a request ran."""
         return sum(a.has_run for a in self.arrivals if a.id == request_id)
 
 
 class ServerStandIn:
-    """One server, of a plain service or of a model.
+    """Stand-in for a server of a plain service or of a model.
 
     Parameters
     ----------
     id : str
-        Its id.
+        Id of the server.
     is_model : bool
-        Whether it answers with event streams.
+        Whether it responds with event streams.
     work_s : float
-        Time of a plain request, or between two events.
+        Duration of a plain request, or of the gap between two events.
     ledger : Ledger, optional
         Shared by all servers of a test.
 
     Attributes
     ----------
     entry : dict
-        What it writes of itself.
+        Its entry in the store.
     faults : collections.deque of str
-        Names of `FAULTS` that the next requests meet, one each; empty text for none.
+        Names in `FAULTS`, one for each of the next requests; empty text for no fault.
     """
 
     def __init__(
@@ -126,14 +126,14 @@
         self.is_mute = False
         self.server = RawServer(self.handle)
 
-    def begin_life(self, born_ms: int) -> None:
-        """Forget what was before and write a later birth, as a start under one id."""
+    def start_incarnation(self, born_ms: int) -> None:
+        """Clear the faults and set a later birth time, as after a restart."""
         self.faults.clear()
         self.is_mute = False
         self.entry = self.entry | {"born": max(born_ms, self.entry["born"] + 1)}
 
     async def handle(self, request: RawRequest, wire: RawWire) -> None:
-        """Answer a request, or misbehave."""
+        """Respond to a request, or apply the next fault."""
         arrival = Arrival(request, trio.current_time(), self.id)
         self.arrivals.append(arrival)
         self.ledger.arrivals.append(arrival)
@@ -151,7 +151,7 @@
         await self.serve(arrival, wire)
 
     async def serve(self, arrival: Arrival, wire: RawWire) -> None:
-        """Answer as a sound server does."""
+        """Respond without a fault."""
         arrival.has_run = True
         if self.is_model:
             await wire.head(
@@ -167,7 +167,7 @@
         arrival.ended = "whole"
 
     def headers(self, arrival: Arrival) -> dict[str, str]:
-        """Return the headers of an answer."""
+        """Return the headers of a response."""
         headers = {
             "Rosemaryknot-Instance-Signature": f"{self.id}.sig",
             "Rosemaryknot-Attempt-Id": arrival.id,
@@ -177,17 +177,17 @@
         return headers
 
     def body(self, arrival: Arrival) -> bytes:
-        """Return the body of a plain answer, which tells whose it is."""
+        """Return the body of a plain response, which names the server and request."""
         return f"{self.id} answers {arrival.id}".encode()
 
     def payload(self, arrival: Arrival) -> bytes:
-        """Return all bytes of a sound answer's body."""
+        """Return the complete body of a response without a fault."""
         if self.is_model:
             return b"".join(self.events(arrival))
         return self.body(arrival)
 
     def events(self, arrival: Arrival) -> list[bytes]:
-        """Return the events that are left of a stream; every server makes the same."""
+        """Return the remaining events of a stream; they are the same on all servers."""
         headers = arrival.request.headers
         tokens = int(headers.get("rosemaryknot-token-usage", "0,20").split(",")[1])
         count = max(1, tokens // EVENT_TOKENS)
@@ -197,7 +197,7 @@
 
 @server_fault("shed")
 async def shed(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Refuse: full."""
+    """Refuse the request as overloaded, without running it."""
     arrival.ended = "refused"
     headers = {"Rosemaryknot-Not-Executed": "1", "Rosemaryknot-Attempt-Id": arrival.id}
     await wire.answer(503, headers)
@@ -205,7 +205,7 @@
 
 @server_fault("error")
 async def error(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Run and fail."""
+    """Run the request and respond with an error."""
     arrival.has_run = True
     arrival.ended = "whole"
     await wire.answer(500, server.headers(arrival), b"failed")
@@ -213,7 +213,7 @@
 
 @server_fault("reset")
 async def reset(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Run and lose the answer with the connection."""
+    """Run the request and reset the connection before the response."""
     arrival.has_run = True
     await trio.sleep(server.work_s)
     wire.reset()
@@ -221,14 +221,14 @@
 
 @server_fault("mute")
 async def mute(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Run and say nothing."""
+    """Run the request and never respond."""
     arrival.has_run = True
     await trio.sleep_forever()
 
 
 @server_fault("cut_event")
 async def cut_event(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Break a stream off in the middle of its third event."""
+    """Reset the connection in the middle of a stream's third event."""
     arrival.has_run = True
     headers = server.headers(arrival) | {"Transfer-Encoding": "chunked"}
     await wire.head(200, headers)
@@ -240,7 +240,7 @@
 
 @server_fault("cut_body")
 async def cut_body(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Close in the middle of a plain answer."""
+    """Close the connection in the middle of a response with a length."""
     arrival.has_run = True
     body = server.payload(arrival)
     headers = server.headers(arrival) | {"Content-Length": str(len(body))}
@@ -251,7 +251,7 @@
 
 @server_fault("unframed")
 async def unframed(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Answer whole without a length; the connection's end is the answer's."""
+    """Send a complete response without a length and close the connection."""
     arrival.has_run = True
     arrival.ended = "whole"
     await wire.head(200, server.headers(arrival))
@@ -263,7 +263,7 @@
 async def unframed_reset(
     server: ServerStandIn, arrival: Arrival, wire: RawWire
 ) -> None:
-    """Begin an answer without a length and reset the connection."""
+    """Reset the connection in the middle of a response without a length."""
     arrival.has_run = True
     await wire.head(200, server.headers(arrival))
     await wire.send(server.payload(arrival)[:5])
@@ -273,28 +273,28 @@
 
 @server_fault("extra")
 async def extra(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Answer twice."""
+    """Send two responses to one request."""
     await server.serve(arrival, wire)
     await wire.answer(200, server.headers(arrival), server.body(arrival))
 
 
 @server_fault("late_extra")
 async def late_extra(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Answer, and answer again just when the next request comes."""
+    """Respond, and send a second response when the next request arrives."""
     await server.serve(arrival, wire)
     headers, body = server.headers(arrival), server.body(arrival)
 
-    async def again(next_arrival: Arrival, next_wire: RawWire) -> None:
+    async def serve_after_extra(next_arrival: Arrival, next_wire: RawWire) -> None:
         await next_wire.answer(200, headers, body)
         del server.serve
         await server.serve(next_arrival, next_wire)
 
-    server.serve = again
+    server.serve = serve_after_extra
 
 
 @server_fault("rubbish")
 async def rubbish(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Send bytes that are no answer."""
+    """Send bytes that are not an HTTP response."""
     arrival.has_run = True
     await wire.send(b"\x00\x01 this is no answer\r\n\r\n")
     wire.close()
@@ -302,6 +302,6 @@
 
 @server_fault("unsigned")
 async def unsigned(server: ServerStandIn, arrival: Arrival, wire: RawWire) -> None:
-    """Answer 200 without the signature."""
+    """Respond with 200 but without the instance signature."""
     arrival.has_run = True
     await wire.answer(200, {"Rosemaryknot-Attempt-Id": arrival.id}, b"whose?")
--- a/src/rosemaryknot/standin/users/store.py
+++ b/src/rosemaryknot/standin/users/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the users' store: list, watch, conditional writes, and its faults."""
+"""Stand-in for the users' store: list, watch, conditional writes, and its faults."""
 
 import json
 from dataclasses import dataclass, field
@@ -8,23 +8,23 @@
 
 from rosemaryknot.standin.users.raw_http import RawRequest, RawServer, RawWire
 
-__all__ = ["RawValue", "StoreFaults", "StoreStandIn", "Written"]
+__all__ = ["RawValue", "StoreFaults", "StoreStandIn", "ObjectChange"]
 
 PREFIX = "/v1/objects/"
-PAGE = 50
-ANSWER_S = 0.004
+PAGE_SIZE = 50
+RESPONSE_DELAY_S = 0.004
 JSON = {"Content-Type": "application/json"}
 
 
 @dataclass(slots=True, frozen=True)
 class RawValue:
-    """A value that the store gives out as bytes, whatever they are."""
+    """A value that the store returns as raw bytes, which need not be valid JSON."""
 
     data: bytes
 
 
-def encoded(value: Any) -> bytes:
-    """Return the body of an answer, raw values as they are."""
+def encode_value(value: Any) -> bytes:
+    """Return the body of a response, with raw values inserted unchanged."""
     raw: list[bytes] = []
 
     def mark(found: Any) -> str:
@@ -39,103 +39,104 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What is wrong with the store at the moment.
+    """Active faults of the store.
 
     Attributes
     ----------
     mode : str
-        Empty, ``busy`` (503), ``many`` (429), ``reset`` or ``silent``.
+        Empty (no fault), ``busy`` (503), ``many`` (429), ``reset`` or ``silent``.
     hosts : set of str
-        Callers that meet it; empty for all.
+        Hosts of the callers that are affected; empty for all.
     lose_writes : int
-        So many writes are done and not answered.
+        Number of following writes that are applied but not answered.
     delay_writes_s : float
-        Lost writes are done this much later.
-    began : int
-        How often a fault began; a watch that waited meanwhile is swallowed.
+        Delay until such a write is applied.
+    begin_count : int
+        Number of faults begun. A read or watch that was waiting when a fault of all
+        callers began is never answered.
     """
 
     mode: str = ""
     hosts: set[str] = field(default_factory=set)
     lose_writes: int = 0
     delay_writes_s: float = 0.0
-    began: int = 0
+    begin_count: int = 0
 
     def begin(self, mode: str, *hosts: str) -> None:
-        """Let a fault begin."""
+        """Begin a fault."""
         self.mode = mode
         self.hosts = set(hosts)
-        self.began += 1
+        self.begin_count += 1
 
     def end(self) -> None:
         """End the fault."""
         self.mode = ""
 
-    def hits(self, caller: str) -> bool:
-        """Tell whether a call of a caller meets the fault."""
+    def affects(self, caller: str) -> bool:
+        """Return whether the fault affects calls of a caller."""
         return bool(self.mode) and (not self.hosts or caller in self.hosts)
 
 
 @dataclass(slots=True)
 class Call:
-    """One call, as the store saw it."""
+    """A call that the store received."""
 
-    at_s: float
+    timestamp_s: float
     caller: str
     method: str
     path: str
 
 
 @dataclass(slots=True, frozen=True)
-class Written:
-    """One change of an object.
+class ObjectChange:
+    """A change of an object.
 
     Attributes
     ----------
-    at_s : float
-        When the store confirmed it, in trio time.
+    timestamp_s : float
+        When the store confirmed the change, in trio time.
     kind, name : str
-        Which object.
+        Kind and name of the object.
     spec : object
-        Its new value, None where it was removed.
+        New value of the object; None if it was removed.
     """
 
-    at_s: float
+    timestamp_s: float
     kind: str
     name: str
     spec: Any
 
 
 class StoreStandIn:
-    """The store.
+    """Stand-in for the store.
 
     Attributes
     ----------
     objects : dict of str to dict
-        By kind and name.
+        Objects by kind and name.
     revision : int
-        Of the last change.
+        Revision of the last change.
     calls : list of Call
-        All calls.
-    written : list of Written
-        All changes of objects; no fault makes the store forget them.
-    strays : dict of str to list
-        By kind: what stands among the objects and is none.
+        All calls received.
+    object_changes : list of ObjectChange
+        All changes of objects; unlike the history, no fault discards them.
+    invalid_items : dict of str to list
+        Items by kind that are listed among the objects but are not objects.
     """
 
     def __init__(self) -> None:
         self.objects: dict[str, dict[str, dict]] = {}
-        self.strays: dict[str, list[Any]] = {}
+        self.invalid_items: dict[str, list[Any]] = {}
         self.revision = 10
         self.history: list[tuple[int, str, dict]] = []
-        self.first_known = 0
+        self.oldest_revision = 0
         self.faults = StoreFaults()
         self.calls: list[Call] = []
-        self.written: list[Written] = []
+        self.object_changes: list[ObjectChange] = []
         self.changed = trio.Event()
         self.server = RawServer(self.handle)
 
-    # The operator's and the servers' side, without calls.
+    # Used directly by the operator and the servers' stand-ins, without calls.
 
     def put(self, kind: str, name: str, spec: Any) -> int:
         """Write an object; return its revision."""
@@ -156,8 +157,8 @@
             "status": None,
         }
         self.objects[kind][name] = item
-        self.written.append(Written(trio.current_time(), kind, name, spec))
-        self.note(kind, {"object": item, "deleted": False})
+        self.object_changes.append(ObjectChange(trio.current_time(), kind, name, spec))
+        self.record_change(kind, {"object": item, "deleted": False})
         return self.revision
 
     def remove(self, kind: str, name: str) -> None:
@@ -166,55 +167,55 @@
         if item is None:
             return
         self.revision += 1
-        self.written.append(Written(trio.current_time(), kind, name, None))
+        self.object_changes.append(ObjectChange(trio.current_time(), kind, name, None))
         item = item | {"metadata": item["metadata"] | {"revision": self.revision}}
-        self.note(kind, {"object": item, "deleted": True})
+        self.record_change(kind, {"object": item, "deleted": True})
 
-    def put_stray(self, kind: str, item: Any) -> None:
-        """Put something among the objects that is none, and tell the watches."""
+    def put_invalid_item(self, kind: str, item: Any) -> None:
+        """List an item that is not an object, and report it to the watches."""
         self.revision += 1
-        self.strays.setdefault(kind, []).append(item)
-        self.note(kind, item)
+        self.invalid_items.setdefault(kind, []).append(item)
+        self.record_change(kind, item)
 
-    def note(self, kind: str, event: Any) -> None:
-        """Remember a change and wake the watches."""
+    def record_change(self, kind: str, event: Any) -> None:
+        """Add a change to the history and wake the watches."""
         self.history.append((self.revision, kind, event))
         self.changed.set()
         self.changed = trio.Event()
 
     def forget_history(self) -> None:
-        """Drop the history; watches from before get 410."""
+        """Drop the history; watches from an earlier revision get 410."""
         self.history.clear()
-        self.first_known = self.revision
+        self.oldest_revision = self.revision
 
-    # Calls.
+    # Calls over the network.
 
     async def handle(self, request: RawRequest, wire: RawWire) -> None:
-        """Answer a call."""
+        """Handle a call."""
         self.calls.append(
             Call(trio.current_time(), request.caller, request.method, request.target)
         )
-        if await self.is_hit(request, wire):
+        if await self.apply_fault(request, wire):
             return
-        began = self.faults.began
-        await trio.sleep(ANSWER_S)
+        begin_count = self.faults.begin_count
+        await trio.sleep(RESPONSE_DELAY_S)
         kind, _, name = request.path.removeprefix(PREFIX).partition("/")
         if request.method == "GET":
             status, value = await self.read(kind, name, request)
-            if await self.is_hit(request, wire):
+            if await self.apply_fault(request, wire):
                 return
-            if began != self.faults.began and not self.faults.hosts:
+            if begin_count != self.faults.begin_count and not self.faults.hosts:
                 await trio.sleep_forever()
         else:
             outcome = await self.write(kind, name, request)
             if outcome is None:
                 await trio.sleep_forever()
             status, value = outcome
-        await wire.answer(status, JSON, encoded(value))
+        await wire.answer(status, JSON, encode_value(value))
 
-    async def is_hit(self, request: RawRequest, wire: RawWire) -> bool:
-        """Let a fault happen to a call; tell whether one did."""
-        if not self.faults.hits(request.caller):
+    async def apply_fault(self, request: RawRequest, wire: RawWire) -> bool:
+        """Apply the active fault to a call; return whether there was one."""
+        if not self.faults.affects(request.caller):
             return False
         mode = self.faults.mode
         if mode == "silent":
@@ -237,24 +238,24 @@
     def page(self, kind: str, after: str) -> dict:
         """Return one page of a list."""
         names = sorted(n for n in self.objects.get(kind, {}) if n > after)
-        items = [self.objects[kind][n] for n in names[:PAGE]]
-        items += self.strays.get(kind, [])
+        items = [self.objects[kind][n] for n in names[:PAGE_SIZE]]
+        items += self.invalid_items.get(kind, [])
         return {
             "items": items,
-            "hasMore": len(names) > PAGE,
+            "hasMore": len(names) > PAGE_SIZE,
             "storeRevision": self.revision,
         }
 
     async def watch(self, kind: str, request: RawRequest) -> tuple[int, Any]:
-        """Wait for changes of a kind."""
+        """Wait for changes of a kind; return status and value."""
         since = int(request.query["watch"])
         wait_s = int(request.query.get("waitMs", "0")) / 1000
-        if since < self.first_known:
+        if since < self.oldest_revision:
             return 410, {}
         with trio.move_on_after(wait_s):
             while not self.events(kind, since):
                 await self.changed.wait()
-        if since < self.first_known:
+        if since < self.oldest_revision:
             return 410, {}
         events = self.events(kind, since)
         return 200, {"events": events, "storeRevision": self.revision}
@@ -266,7 +267,7 @@
     async def write(
         self, kind: str, name: str, request: RawRequest
     ) -> tuple[int, Any] | None:
-        """Return status and value of a write, or None where its answer is lost."""
+        """Return status and value of a write, or None if its response is lost."""
         body = json.loads(request.body or b"{}")
         if self.faults.lose_writes > 0:
             self.faults.lose_writes -= 1
@@ -276,7 +277,7 @@
         return self.apply(kind, name, request.method, body)
 
     def apply(self, kind: str, name: str, method: str, body: dict) -> tuple[int, Any]:
-        """Carry a write out if its condition holds."""
+        """Apply a write if its condition holds; return status and value."""
         metadata = body.get("metadata", {})
         name = name or metadata.get("name", "")
         item = self.objects.get(kind, {}).get(name)
--- a/src/rosemaryknot/standin/users/system.py
+++ b/src/rosemaryknot/standin/users/system.py
@@ -1,4 +1,4 @@
-"""Gateway nodes between the stand-ins of their platform, on one memory network."""
+"""Gateway nodes and the stand-ins for their platform, on an in-memory network."""
 
 import math
 import random
@@ -22,7 +22,7 @@
 )
 from rosemaryknot.process.synchronized_clock import SynchronizedClock
 from rosemaryknot.standin.users.cloud import CloudStandIn
-from rosemaryknot.standin.users.contact import Disturbances
+from rosemaryknot.standin.users.disturbances import Disturbances
 from rosemaryknot.standin.users.servers import Ledger, ServerStandIn, server_entry
 from rosemaryknot.standin.users.store import StoreStandIn
 from rosemaryknot.values.nodes import Address
@@ -44,7 +44,7 @@
 
 STORE = Address("10.0.0.1", 8361)
 CLOUD = Address("10.0.0.2", 8361)
-CALLERS = "10.9.0.1"
+CALLER_HOST = "10.9.0.1"
 TRAP = Address("10.1.9.9", 8000)
 HOST = "a.example"
 MODEL = "writer"
@@ -61,7 +61,7 @@
 
 
 def route(name: str, prefix: str, kind: str, service: str, **fields: Any) -> dict:
-    """Return a route as the operator writes it."""
+    """Return a route in the form that the operator writes."""
     return {
         "name": name,
         "hostname": HOST,
@@ -77,7 +77,7 @@
 
 
 def document(version: int = 1, **fields: Any) -> dict:
-    """Return a configuration as the operator writes it."""
+    """Return a configuration in the form that the operator writes."""
     return {
         "version": version,
         "routes": [
@@ -115,22 +115,22 @@
 
 
 def now_ms() -> int:
-    """Return the time of day of the servers, in milliseconds of the epoch."""
+    """Return the servers' wall-clock time, in milliseconds since the epoch."""
     return int((EPOCH_S + trio.current_time()) * 1000)
 
 
 @dataclass
 class Answer:
-    """What a caller got.
+    """The response that a caller received.
 
     Attributes
     ----------
     status : int
-        0 where no head came.
+        Status of the response; 0 if no response head was received.
     is_whole : bool
-        Whether the answer ended as it said it would.
+        Whether the response was complete according to its framing.
     took_s, first_s : float
-        Until its end and the first part of its body, in seconds.
+        Time until the end and until the first bytes of the body, in seconds.
     """
 
     status: int = 0
@@ -142,20 +142,20 @@
 
 
 class Caller:
-    """Sends requests over a connection of its own."""
+    """HTTP client that sends requests over its own connection."""
 
     def __init__(self, network: MemoryNetwork, address: Address) -> None:
         self.network = network
         self.address = address
 
     async def open(self) -> "Caller":
-        """Connect."""
+        """Open the connection."""
         self.stream = await self.network.dial(self.address)
         self.conn = h11.Connection(h11.CLIENT)
         return self
 
     async def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         await trio.aclose_forcefully(self.stream)
 
     async def send(
@@ -166,7 +166,7 @@
         body: bytes = b"",
         **headers: str | None,
     ) -> None:
-        """Send a request; a header of None is left out."""
+        """Send a request; headers whose value is None are omitted."""
         names: dict[str, str | None] = {
             "Host": HOST,
             "Rosemaryknot-Attempt-Id": request_id,
@@ -185,9 +185,9 @@
         await self.stream.send_all(data)
 
     async def receive(self) -> Answer:
-        """Return the answer, as far as it came."""
+        """Return the response, or the part of it that was received."""
         answer = Answer()
-        began_s = trio.current_time()
+        started_s = trio.current_time()
         while True:
             try:
                 event = self.conn.next_event()
@@ -200,38 +200,38 @@
                 answer.status = event.status_code
                 answer.headers = {k.decode(): v.decode() for k, v in event.headers}
             elif isinstance(event, h11.Data):
-                answer.first_s = min(answer.first_s, trio.current_time() - began_s)
+                answer.first_s = min(answer.first_s, trio.current_time() - started_s)
                 answer.body += bytes(event.data)
             else:
                 answer.is_whole = isinstance(event, h11.EndOfMessage)
                 break
-        answer.took_s = trio.current_time() - began_s
+        answer.took_s = trio.current_time() - started_s
         return answer
 
     def reuse(self) -> None:
-        """Make the connection ready for the next request."""
+        """Prepare the connection for the next request."""
         self.conn.start_next_cycle()
 
 
 class PlatformSystem:
-    """Some nodes and everything around them.
+    """Gateway nodes with their platform and backend servers.
 
     Attributes
     ----------
     store, cloud : StoreStandIn, CloudStandIn
-        The platform.
+        Stand-ins for the platform.
     servers : dict of str to ServerStandIn
         Backend servers by id.
     ledger : Ledger
-        What all servers have seen.
+        Requests that reached the servers.
     nodes : dict of str to GatewayNode
-        By name; of a node that was killed the last life.
+        Nodes by name; for a killed node its last incarnation.
     down : set of str
-        Nodes and servers that a fault has ended and will start again.
+        Nodes and servers that a fault has stopped and will restart.
     trap : ServerStandIn
-        Where entries of another writer lead; no server writes its address.
+        Server at the address that foreign entries name and no server's entry does.
     disturbances : Disturbances
-        Whom faults have disturbed, and when.
+        Nodes and servers that faults have disturbed, and when.
     """
 
     def __init__(self, nursery: trio.Nursery, seed: int = 1) -> None:
@@ -257,7 +257,7 @@
         configuration: dict | None = None,
         **options: Any,
     ) -> None:
-        """Start the platform, servers and nodes; options go to `settings`."""
+        """Start the platform, servers and nodes; options are passed to `settings`."""
         start = self.nursery.start
         store_network = self.network.with_host(STORE.host)
         await start(self.store.server.serve, store_network, STORE)
@@ -283,7 +283,7 @@
         work_s: float = 0.02,
         **entry: Any,
     ) -> ServerStandIn:
-        """Start a server and write its entry."""
+        """Start a new server and write its entry."""
         address = Address(f"10.1.0.{len(self.servers) + 1}", 8000)
         server = ServerStandIn(server_id, service == MODEL, work_s, self.ledger)
         born = entry.pop("born", now_ms())
@@ -292,7 +292,7 @@
         return server
 
     async def serve_server(self, server: ServerStandIn) -> None:
-        """Let a server listen and write its entry."""
+        """Start listening for a server and write its entry."""
         address = Address.from_text(server.entry["address"])
         network = self.network.with_host(address.host)
 
@@ -306,9 +306,10 @@
         self.store.put("servers", server.id, server.entry)
 
     async def restart_server(self, server_id: str, down_s: float = 0.0) -> None:
-        """Let a server crash and start again under its id, with nothing of before.
+        """Crash a server and restart it under the same id, without its former state.
 
-        Its address stays and its birth rises; a server that tells none goes on so.
+        Its address stays and its birth time increases; a server whose entry has no
+        birth time still has none.
         """
         old = self.servers[server_id]
         self.scopes[server_id].cancel()
@@ -327,7 +328,7 @@
         bounds: Bounds | None = None,
         duties: tuple[str, ...] | list[str] = (),
     ) -> NodeSettings:
-        """Return a node's settings."""
+        """Return the settings of a node."""
         host = f"10.2.0.{number + 1}"
         return NodeSettings(
             node=f"n{number}",
@@ -345,7 +346,7 @@
         )
 
     async def add_node(self, number: int, **options: Any) -> GatewayNode:
-        """Start a node, or start it again."""
+        """Start or restart a node."""
         settings = self.settings(number, **options)
         stop = trio.Event()
         clock = SynchronizedClock(
@@ -372,28 +373,28 @@
         return node
 
     def limit_links(self, bytes_per_s: float) -> None:
-        """Give the links of all nodes a bandwidth."""
+        """Limit the bandwidth of the links of all nodes."""
         for node in self.nodes.values():
             host = node.settings.listen.callers.host
             self.network.limit_link(host, bytes_per_s)
 
     def kill(self, name: str) -> None:
-        """End a node at once, as SIGKILL does."""
+        """Stop a node immediately, as SIGKILL does."""
         self.scopes[name].cancel()
         self.network.kill_host(self.nodes[name].settings.listen.callers.host)
 
-    def caller(self, node: str = "n0", host: str = CALLERS) -> Caller:
-        """Return a caller of a node."""
+    def caller(self, node: str = "n0", host: str = CALLER_HOST) -> Caller:
+        """Return a caller that connects to a node."""
         address = self.nodes[node].settings.listen.callers
         return Caller(self.network.with_host(host), address)
 
     async def ask(self, path: str, node: str = "n0", **options: Any) -> Answer:
-        """Send one request on a connection of its own and return the answer."""
+        """Send a request on a new connection and return the response."""
         caller = await self.caller(node).open()
-        began_s = trio.current_time()
+        started_s = trio.current_time()
         await caller.send(path, **options)
         answer = await caller.receive()
-        answer.took_s = trio.current_time() - began_s
+        answer.took_s = trio.current_time() - started_s
         await caller.close()
         return answer
 
--- a/src/rosemaryknot/values/outcomes.py
+++ b/src/rosemaryknot/values/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of requests for callers, with reasons from a closed list."""
+"""Outcomes of requests as reported to callers, with a fixed set of reasons."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,9 +7,9 @@
 
 
 class Reason(StrEnum):
-    """Why a request was not answered.
+    """Why a caller receives no response from a backend server.
 
-    The text of each member is part of the API: callers and dashboards match on it.
+    The values are part of the API: callers and dashboards match on them.
     """
 
     # Invalid input: the same request would be refused again.
@@ -20,11 +20,13 @@
     FORBIDDEN = "forbidden"
     UNKNOWN_SERVICE = "unknown_service"
     UNKNOWN_REQUEST = "unknown_request"
+    # The idempotency key was used for another request.
     BODY_DIFFERS = "body_differs"
     # Load and limits: retry after ``retry_after_s``.
     OVERLOADED = "overloaded"
     LIMIT_REACHED = "limit_reached"
     DEADLINE_TOO_SHORT = "deadline_too_short"
+    # No capacity to store another idempotency key.
     ID_TABLE_FULL = "id_table_full"
     # State of the system.
     STOPPING = "stopping"
@@ -33,12 +35,14 @@
     SERVER_FAILED = "server_failed"
     OWNER_UNREACHABLE = "owner_unreachable"
     STORE_UNAVAILABLE = "store_unavailable"
+    # A later attempt with the same idempotency key was refused, or the key is closed.
     ATTEMPT_CLOSED = "attempt_closed"
     ALREADY_RUNNING = "already_running"
-    # After the request may have reached a backend server.
+    # The request may have reached a backend server, unless the outcome is `NotRun`.
     ANSWER_LOST = "answer_lost"
     TIMED_OUT = "timed_out"
     OWNER_CHANGED = "owner_changed"
+    # It could not be confirmed whether the request ran.
     NOT_PROVEN = "not_proven"
 
 
@@ -63,7 +67,7 @@
 
 @dataclass(slots=True)
 class NotRun:
-    """The request did not run, and no attempt up to this one will.
+    """The request did not run; neither this attempt nor an earlier one will run later.
 
     Attributes
     ----------
@@ -87,7 +91,7 @@
     Attributes
     ----------
     reason : Reason
-        Why this is unknown.
+        Why it is unknown whether the request ran.
     detail : str
         Explanation for people. Never contains text from the caller.
     """
--- a/src/rosemaryknot/values/servers.py
+++ b/src/rosemaryknot/values/servers.py
@@ -1,4 +1,4 @@
-"""Messages about backend servers between the processes of this project."""
+"""Messages about backend servers, exchanged between processes."""
 
 from dataclasses import asdict, dataclass, field, fields
 from typing import Any, ClassVar
@@ -8,25 +8,25 @@
 
 __all__ = ["LeavingMark", "ServersPush", "server_from_dict", "server_to_dict"]
 
-SERVER_FIELDS = frozenset(known.name for known in fields(BackendServer))
+SERVER_FIELDS = frozenset(server_field.name for server_field in fields(BackendServer))
 
 
 @message("servers_push")
 @dataclass(slots=True)
 class ServersPush(Message):
-    """Backend servers that the sender knows.
+    """Backend servers from the table of the sender.
 
     Attributes
     ----------
     servers : list of dict
         Outputs of `server_to_dict`.
     full : bool
-        Whether these are all that the sender knows.
+        Whether `servers` contains the whole table.
     seen_ages_s : list of float
         How long ago the platform last listed each server, in seconds; if empty, all
         were listed now.
     listed_age_s : float
-        How long ago the newest list that the sender knows was read, in seconds.
+        Age of the platform's newest list of servers that the sender knows, in seconds.
     """
 
     kind: ClassVar[str]
@@ -39,18 +39,18 @@
 @message("leaving_mark")
 @dataclass(slots=True)
 class LeavingMark(Message):
-    """Mark of a draining instance, which is never revoked.
+    """Irreversible mark that an instance is draining.
 
     Attributes
     ----------
     instance : str
-        Name of the instance at the platform.
+        Name of the instance on the platform.
     deadline_unix_s : float
-        When it is terminated, in seconds since the epoch; 0 if unknown.
+        When the instance is terminated, in seconds since the epoch; 0 if unknown.
     source : str
-        Source of the mark: ``notice``, ``list``, ``peer`` or ``server``.
+        Source of the mark: ``notice``, ``list``, ``peer``, ``server`` or ``placement``.
     age_s : float
-        How long ago the platform or the server last reported it, in seconds.
+        How long ago the platform or the server last reported this, in seconds.
     """
 
     kind: ClassVar[str]
@@ -73,7 +73,7 @@
 
 
 def server_from_dict(data: dict[str, Any]) -> BackendServer:
-    """Return the server from its dict; unknown fields are ignored.
+    """Return the server of an output of `server_to_dict`; ignore unknown fields.
 
     Raises
     ------
