--- a/tests/gateway/test_bounds.py
+++ b/tests/gateway/test_bounds.py
@@ -182,7 +182,7 @@
             for arrival in fleet.ledger.arrivals:
                 deadline_ms = int(arrival.request.headers["rosemaryknot-deadline-ms"])
                 # The one-way delay of 0.2 s passes after the request is sent.
-                elapsed_s = arrival.at_s - began_s
+                elapsed_s = arrival.timestamp_s - began_s
                 assert 1.99 - elapsed_s <= deadline_ms / 1000 <= 2.2 - elapsed_s
 
 
@@ -356,7 +356,7 @@
             while trio.current_time() < gone_s + 3:
                 await fleet.ask("/stock/x", method="GET")
                 await trio.sleep(0.02)
-            last_s = max(a.at_s for a in fleet.ledger.arrivals)
+            last_s = max(a.timestamp_s for a in fleet.ledger.arrivals)
             assert last_s - gone_s < 0.8
 
 
--- a/tests/gateway/test_control.py
+++ b/tests/gateway/test_control.py
@@ -6,7 +6,7 @@
 import trio
 
 from rosemaryknot.process.node_settings import Bounds
-from rosemaryknot.standin.users.contact import CONTACT_S
+from rosemaryknot.standin.users.disturbances import RECOVERY_S
 from rosemaryknot.standin.users.system import (
     MODEL_HEADERS,
     PLAIN,
@@ -103,7 +103,7 @@
             await trio.sleep(0.7)
             fleet.store.faults.end()
             fleet.store.put("config", "main", with_stock(7, "/new/"))
-            await trio.sleep(CONTACT_S)
+            await trio.sleep(RECOVERY_S)
             assert fleet.nodes["n0"].state.version == 7
 
     async def test_outage_after_earlier_outages_of_one_node(self, autojump_clock):
@@ -121,7 +121,7 @@
             await trio.sleep(0.7)
             fleet.store.faults.end()
             fleet.store.put("config", "main", with_stock(7, "/new/"))
-            await trio.sleep(CONTACT_S)
+            await trio.sleep(RECOVERY_S)
             assert {node.state.version for node in nodes} == {7}
 
     async def test_store_unreachable_for_one_node(self, autojump_clock):
@@ -190,7 +190,7 @@
             while trio.current_time() < removed_s + 4:
                 await fleet.ask("/stock/x", method="GET")
                 await trio.sleep(0.02)
-            last_s = max(a.at_s for a in fleet.ledger.arrivals)
+            last_s = max(a.timestamp_s for a in fleet.ledger.arrivals)
             assert 1.0 < last_s - removed_s < 1.8
 
     async def test_silent_server_gets_no_new_streams(self, autojump_clock):
@@ -365,7 +365,7 @@
                 )
                 await trio.sleep(0.1)
             await trio.sleep(10)
-            assert not fleet.cloud.doubled
+            assert not fleet.cloud.conflicting_windows
             assert sum(c.get("ada", 0) for c in fleet.cloud.usage.values()) == 60
             assert len({c.holder for c in fleet.cloud.calls}) == 1
 
@@ -389,11 +389,11 @@
             holder = fleet.cloud.calls[-1].holder
             fleet.kill(holder)
             await trio.sleep(30)
-            assert not fleet.cloud.doubled
+            assert not fleet.cloud.conflicting_windows
             windows = sorted(fleet.cloud.usage)
             assert windows == list(range(windows[0], windows[-1] + 1))
-            fences = [c.fencing for c in fleet.cloud.calls if c.status == 200]
-            assert fences == sorted(fences)
+            fencing_tokens = [c.fencing for c in fleet.cloud.calls if c.status == 200]
+            assert fencing_tokens == sorted(fencing_tokens)
 
     async def test_all_nodes_killed(self, autojump_clock):
         """All nodes are killed after a window has ended and before it is reported.
@@ -413,7 +413,7 @@
                 await fleet.add_node(number, is_first_start=False, duties=["usage"])
             await trio.sleep(20)
             assert sum(c.get("ada", 0) for c in fleet.cloud.usage.values()) == 20
-            assert not fleet.cloud.doubled
+            assert not fleet.cloud.conflicting_windows
 
 
 class TestFewNodesWatch:
--- a/tests/gateway/test_foreign_entries.py
+++ b/tests/gateway/test_foreign_entries.py
@@ -12,7 +12,7 @@
 from rosemaryknot.process.leases import KIND as LEASES
 from rosemaryknot.process.node import LEASE_NAME
 from rosemaryknot.process.usage_tracker import UsageTracker
-from rosemaryknot.standin.users.foreign import FOREIGN, foreign_value
+from rosemaryknot.standin.users.foreign_entries import FOREIGN_ENTRIES, foreign_value
 from rosemaryknot.standin.users.store import RawValue
 from rosemaryknot.standin.users.system import PLAIN, document, platform_system
 from rosemaryknot.values.leases import LeaseRecord
@@ -33,7 +33,7 @@
 def values_of(valid):
     """Return one value for each way in which an entry is not a valid server entry."""
     rng = random.Random(1)
-    return {way: foreign_value(way, valid, rng) for way in FOREIGN}
+    return {way: foreign_value(way, valid, rng) for way in FOREIGN_ENTRIES}
 
 
 class TestServers:
@@ -51,7 +51,7 @@
                 fleet.store.put("servers", f"x-{way}", value)
                 await trio.sleep(0.05)
             for stray in STRAYS:
-                fleet.store.put_stray("servers", stray)
+                fleet.store.put_invalid_item("servers", stray)
             await fleet.add_server("p9", PLAIN)
             await trio.sleep(SOON_S)
             assert ids_of(fleet) == known | {"p9"}
@@ -80,7 +80,7 @@
             for way, value in values_of(fleet.servers["p0"].entry).items():
                 fleet.store.put("servers", f"x-{way}", value)
             for stray in STRAYS:
-                fleet.store.put_stray("servers", stray)
+                fleet.store.put_invalid_item("servers", stray)
             await fleet.add_node(1)
             await trio.sleep(1)
             assert ids_of(fleet, "n1") == {"p0", "p1", "m0", "m1"}
@@ -176,7 +176,7 @@
     async with platform_system(plain=1, models=0) as fleet:
         for number, value in enumerate(values):
             fleet.store.put("servers", f"x{number}", value)
-            fleet.store.put_stray("servers", value)
+            fleet.store.put_invalid_item("servers", value)
             await trio.sleep(0.01)
         await fleet.add_server("p1", PLAIN)
         await trio.sleep(SOON_S)
@@ -263,7 +263,7 @@
             assert fleet.nodes[holder].lease.fencing == fencing
             assert len(fleet.cloud.calls) > calls
             assert {c.holder for c in fleet.cloud.calls} == {holder}
-            assert not fleet.cloud.doubled
+            assert not fleet.cloud.conflicting_windows
 
     @pytest.mark.parametrize(
         "notes",
--- a/tests/gateway/test_plays.py
+++ b/tests/gateway/test_plays.py
@@ -5,8 +5,13 @@
 import pytest
 
 from rosemaryknot.replay.virtual_time import run_in_virtual_time
-from rosemaryknot.standin.users.audit import Asked, Reached, Seen, audit
-from rosemaryknot.standin.users.contact import Disturbance
+from rosemaryknot.standin.users.audit import (
+    CallerRequest,
+    Observations,
+    ServerRequest,
+    audit,
+)
+from rosemaryknot.standin.users.disturbances import Disturbance
 from rosemaryknot.standin.users.play import (
     PLAY_FAULTS,
     Play,
@@ -14,7 +19,7 @@
     random_play,
     run_play,
 )
-from rosemaryknot.standin.users.store import Written
+from rosemaryknot.standin.users.store import ObjectChange
 
 # Random faults that overlap: a node killed while the store is silent, an expired entry
 # during a graceful shutdown, network partitions.
@@ -25,15 +30,15 @@
     """Return one request, sent 9 s after a route change and the drain of a server."""
     routes = [{"pathPrefix": "/new/"}]
     draining = {"address": "a:1", "state": "draining", "born": 5}
-    asked = Asked("a", "plain", True, status, b"x answers a", True)
-    asked.node, asked.path, asked.sent_s, asked.ended_s = "n0", path, 10.0, 10.1
-    return Seen(
-        [asked],
+    request = CallerRequest("a", "plain", True, status, b"x answers a", True)
+    request.node, request.path, request.sent_s, request.ended_s = "n0", path, 10.0, 10.1
+    return Observations(
+        [request],
         {"a": 1} if status == 200 else {},
-        reached=[Reached(server, "a", 10.1)] if server else [],
-        written=[
-            Written(1.0, "config", "main", {"version": 7, "routes": routes}),
-            Written(1.0, "servers", "p0", draining),
+        server_requests=[ServerRequest(server, "a", 10.1)] if server else [],
+        object_changes=[
+            ObjectChange(1.0, "config", "main", {"version": 7, "routes": routes}),
+            ObjectChange(1.0, "servers", "p0", draining),
         ],
     )
 
@@ -72,41 +77,63 @@
     """Each violation of a guarantee is reported."""
 
     @pytest.mark.parametrize(
-        ("promise", "seen"),
+        ("invariant", "observations"),
         [
-            ("runs_once", Seen([Asked("a", "plain", False)], {"a": 2})),
-            ("not_run_is_true", Seen([Asked("a", "plain", False, 503)], {"a": 1})),
-            ("asked_for", Seen([], {"a": 1})),
-            ("ones_own", Seen([Asked("a", "plain", True, 200, b"x answers b", True)])),
-            ("in_order", Seen([Asked("a", "stream", True, 200, b"", True, 2)])),
-            ("in_order", Seen([Asked("a", "stream", True, 200, b"id: 1\n", False, 2)])),
-            ("named_by_servers", Seen(trapped=["a"])),
-            ("one_usage_report", Seen(usage_doubled=[7])),
-            ("fences_rise", Seen(fences=[2, 1])),
-            ("fences_rise", Seen(holders=[("n1", 3), ("n2", 3)])),
+            ("runs_once", Observations([CallerRequest("a", "plain", False)], {"a": 2})),
+            (
+                "not_run_is_true",
+                Observations([CallerRequest("a", "plain", False, 503)], {"a": 1}),
+            ),
+            ("asked_for", Observations([], {"a": 1})),
+            (
+                "ones_own",
+                Observations(
+                    [CallerRequest("a", "plain", True, 200, b"x answers b", True)]
+                ),
+            ),
+            (
+                "in_order",
+                Observations([CallerRequest("a", "stream", True, 200, b"", True, 2)]),
+            ),
+            (
+                "in_order",
+                Observations(
+                    [CallerRequest("a", "stream", True, 200, b"id: 1\n", False, 2)]
+                ),
+            ),
+            ("named_by_servers", Observations(misrouted=["a"])),
+            ("one_usage_report", Observations(conflicting_usage_windows=[7])),
+            ("fences_rise", Observations(fencing_tokens=[2, 1])),
+            ("fences_rise", Observations(holders=[("n1", 3), ("n2", 3)])),
             ("configuration_in_force", seen_at(404, "/new/x")),
             ("configuration_in_force", seen_at(401, "/new/x")),
             ("configuration_in_force", seen_at(200, "/old/x")),
             ("leaving_get_nothing", seen_at(200, "/new/x", "p0")),
         ],
     )
-    def test_violation_is_found(self, promise, seen):
-        assert [violation.promise for violation in audit(seen)] == [promise]
+    def test_violation_is_found(self, invariant, observations):
+        assert [violation.invariant for violation in audit(observations)] == [invariant]
 
     @pytest.mark.parametrize(
         "case", ["in_time", "disturbed_node", "earlier_incarnation"]
     )
     def test_permitted_behaviour(self, case):
-        seen = seen_at(404, "/new/x", "p0")
+        observations = seen_at(404, "/new/x", "p0")
         if case == "in_time":
-            seen.asked[0].sent_s = seen.asked[0].ended_s = 3.9
-            seen.reached[0].at_s = 2.9
+            observations.caller_requests[0].sent_s = observations.caller_requests[
+                0
+            ].ended_s = 3.9
+            observations.server_requests[0].timestamp_s = 2.9
             before = {"version": 4, "routes": []}
-            seen.written.insert(0, Written(0.0, "config", "main", before))
+            observations.object_changes.insert(
+                0, ObjectChange(0.0, "config", "main", before)
+            )
         elif case == "disturbed_node":
-            seen.disturbances.spans.append(Disturbance("n0", 6.0, 7.5))
+            observations.disturbances.spans.append(Disturbance("n0", 6.0, 7.5))
         else:
-            seen.asked[0].status = 200
+            observations.caller_requests[0].status = 200
             newer = {"address": "a:1", "state": "ready", "born": 9}
-            seen.written.insert(0, Written(0.5, "servers", "p0", newer))
-        assert not audit(seen)
+            observations.object_changes.insert(
+                0, ObjectChange(0.5, "servers", "p0", newer)
+            )
+        assert not audit(observations)
--- a/tests/gateway/test_scaling.py
+++ b/tests/gateway/test_scaling.py
@@ -44,9 +44,14 @@
 def orders_since(fleet, since_s):
     """Return (time since, zone, on demand, count) of the orders that were sent."""
     return [
-        (call.at_s - since_s, call.body["zone"], not call.body.get("spot"), wanted)
+        (
+            call.timestamp_s - since_s,
+            call.body["zone"],
+            not call.body.get("spot"),
+            wanted,
+        )
         for call in fleet.cloud.calls
-        if call.duty == "scale" and call.at_s >= since_s
+        if call.duty == "scale" and call.timestamp_s >= since_s
         if (wanted := call.body["desired"])
     ]
 
--- a/tests/gateway/test_slow_links.py
+++ b/tests/gateway/test_slow_links.py
@@ -5,7 +5,7 @@
 import trio
 
 from rosemaryknot.process.node_settings import Bounds
-from rosemaryknot.standin.users.changes import filler_routes
+from rosemaryknot.standin.users.configuration_changes import filler_routes
 from rosemaryknot.standin.users.system import PLAIN, document, platform_system, route
 
 NODES = 30
@@ -43,7 +43,11 @@
 def is_late(node, written):
     """Return whether a node uses a version that should have been replaced."""
     now_s = trio.current_time()
-    due = [v for v, at_s in written.items() if now_s - at_s > ACTIVATION_TIMEOUT_S]
+    due = [
+        v
+        for v, timestamp_s in written.items()
+        if now_s - timestamp_s > ACTIVATION_TIMEOUT_S
+    ]
     return node.state.version < max(due, default=0)
 
 
@@ -131,10 +135,10 @@
             await drain_in_series(fleet, drained_s)
             await trio.sleep(DRAIN_S + 2)
             late = [
-                (server_id, arrival.at_s - drain_s)
+                (server_id, arrival.timestamp_s - drain_s)
                 for server_id, drain_s in drained_s.items()
                 for arrival in fleet.servers[server_id].arrivals
-                if arrival.at_s - drain_s > DRAIN_S
+                if arrival.timestamp_s - drain_s > DRAIN_S
             ]
             assert not late
 
--- a/tests/process/standby_fleet.py
+++ b/tests/process/standby_fleet.py
@@ -8,9 +8,9 @@
 from rosemaryknot.connection.http_client import http_client
 from rosemaryknot.process.safeguards import Safeguards
 from rosemaryknot.replay.audit import audit_model
+from rosemaryknot.replay.caller_records import ModelRecord
 from rosemaryknot.replay.callers import Caller
 from rosemaryknot.replay.hosts import HostInstrument
-from rosemaryknot.replay.notes import ModelNote
 from rosemaryknot.replay.system import System, SystemPlan
 from rosemaryknot.version.view import new_key
 
@@ -66,7 +66,7 @@
 
     async def pick_up_all(self, node, record):
         """Pick up the complete text of a request at one node."""
-        picked_up = ModelNote(record.prompt, record.max_tokens, id=record.id)
+        picked_up = ModelRecord(record.prompt, record.max_tokens, id=record.id)
         caller = self.caller([node])
         with trio.move_on_after(CALLER_TIMEOUT_S):
             while picked_up.outcome == "none":
--- a/tests/process/test_limits_system.py
+++ b/tests/process/test_limits_system.py
@@ -89,7 +89,7 @@
         """
         limits = {MODEL: {"tokens_per_minute": 6000}}
         async with system_with(nursery, limits) as (system, send_request):
-            system.cut_zone(ZONES[2], platform_too=False)
+            system.partition_zone(ZONES[2], platform_too=False)
             await trio.sleep(5)
             before = system.platform.calls.total()
             await trio.sleep(30)
--- a/tests/process/test_standby.py
+++ b/tests/process/test_standby.py
@@ -12,7 +12,7 @@
 )
 
 from rosemaryknot.process.standby_table import StandbyTable
-from rosemaryknot.replay.notes import ModelNote
+from rosemaryknot.replay.caller_records import ModelRecord
 from rosemaryknot.values.standby import StandbyCopy, StandbyUpdate
 
 
@@ -27,7 +27,7 @@
         """
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a house", LONG)
+            record = ModelRecord("plan set of a house", LONG)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 60)
@@ -43,7 +43,7 @@
         """The entry is killed; its agent is alive and reports this immediately."""
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a barn", LONG)
+            record = ModelRecord("plan set of a barn", LONG)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 60)
@@ -60,7 +60,7 @@
         """
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a shed", LONG)
+            record = ModelRecord("plan set of a shed", LONG)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 60)
@@ -90,7 +90,7 @@
         """
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a mill", LONG)
+            record = ModelRecord("plan set of a mill", LONG)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 60)
@@ -107,7 +107,7 @@
         """Relay and standby fail together: the pick-up correctly returns "unknown"."""
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a silo", LONG)
+            record = ModelRecord("plan set of a silo", LONG)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 60)
@@ -134,7 +134,7 @@
         """
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a hall", LONG)
+            record = ModelRecord("plan set of a hall", LONG)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 60)
@@ -164,7 +164,7 @@
         """
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a lodge", max_tokens)
+            record = ModelRecord("plan set of a lodge", max_tokens)
             node = fleet.system.nodes[RELAY]
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
@@ -173,7 +173,7 @@
                 await trio.sleep(0.1)
                 ready = await fleet.get(RELAY, "/readyz")
                 assert ready.status_code == 503
-                await node.entry_ended.wait()
+                await node.entry_stopped.wait()
                 assert not node.entry.is_dead
             assert_complete(record)
             assert record.pickups > 0
@@ -188,7 +188,7 @@
         """
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a barn", SHORT * 2)
+            record = ModelRecord("plan set of a barn", SHORT * 2)
             node = fleet.system.nodes[RELAY]
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
@@ -197,7 +197,7 @@
                 fleet.system.platform.reclaim(RELAY, 4.0)
                 await trio.sleep(0.5)
                 fleet.system.restart_agent(RELAY)
-                await node.entry_ended.wait()
+                await node.entry_stopped.wait()
                 assert not node.entry.is_dead
             assert_complete(record)
 
@@ -210,16 +210,16 @@
         """
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a tower", LONG)
+            record = ModelRecord("plan set of a tower", LONG)
             node = fleet.system.nodes[RELAY]
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 20)
                 await node.agent_process.drain("ana")
                 await fleet.wait_tokens(record, 40)
-                assert not node.entry_ended.is_set()
+                assert not node.entry_stopped.is_set()
                 fleet.system.platform.reclaim(RELAY, 2.0)
-                await node.entry_ended.wait()
+                await node.entry_stopped.wait()
                 assert not node.entry.is_dead
             assert_complete(record)
 
@@ -233,7 +233,7 @@
         """
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a villa", LONG)
+            record = ModelRecord("plan set of a villa", LONG)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 20)
@@ -249,7 +249,7 @@
         """Streams that end before the deadline are not handed over."""
 
         async def scenario(fleet):
-            record = ModelNote("plan set of a porch", SHORT)
+            record = ModelRecord("plan set of a porch", SHORT)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 50)
@@ -290,7 +290,7 @@
         """Any node finds a request of a customer, but not for another customer."""
 
         async def scenario(fleet):
-            record = ModelNote("plan set of an inn", LONG)
+            record = ModelRecord("plan set of an inn", LONG)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(fleet.ask, record, fleet.caller([RELAY]))
                 await fleet.wait_tokens(record, 20)
--- a/tests/replay/test_hosts.py
+++ b/tests/replay/test_hosts.py
@@ -12,7 +12,7 @@
 
 
 async def echo(stream):
-    """Send back what comes."""
+    """Send back all received data."""
     while data := await stream.receive_some():
         await stream.send_all(data)
 
@@ -24,14 +24,14 @@
 
 
 class TestHost:
-    """A host stops, goes on and dies as a whole."""
+    """All tasks of a host are frozen, thawed and killed together."""
 
     def test_freeze_holds_timers_and_arrivals(self):
-        """A caller sends to a host that is frozen, and gets the echo after the thaw.
+        """A caller sends to a frozen host and receives the echo after the thaw.
 
-        The bytes wait in the frozen host's buffer; the handler was started by an
-        accept, so this also shows that accepted connections belong to the host
-        that listens and not to the one that dials.
+        The bytes stay in the buffer of the frozen host. The handler was started by
+        an accept, so this also checks that accepted connections belong to the
+        listening host and not to the dialling one.
         """
 
         async def main():
@@ -54,7 +54,7 @@
         assert run(main) == (True, b"ping", 6.0)
 
     def test_kill_runs_no_cleanup(self):
-        """A killed host's callers see a reset, and its cleanup never ran by then."""
+        """Callers of a killed host see a reset before any of its cleanup runs."""
         cleaned = []
 
         async def process(network, address):
--- a/tests/replay/test_scenario_language.py
+++ b/tests/replay/test_scenario_language.py
@@ -1,4 +1,4 @@
-"""Tests of reading scenarios: what is taken and what is told of mistakes."""
+"""Tests of the scenario parser: accepted statements and error messages."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class TestScenarioError:
-    """A mistake is told by line, column and what may stand there."""
+    """An error gives line, column and what is expected there."""
 
     @pytest.mark.parametrize(
         ("line", "column", "expected"),
@@ -37,7 +37,7 @@
         assert expected in error.expected
 
     def test_refuses_a_name_that_is_used_twice(self):
-        """Two requests of one name would share an idempotency key and a verdict."""
+        """Two requests with one name would share an idempotency key and a verdict."""
         line = "at 1s ana sends question as q1\n"
         with pytest.raises(ScenarioError, match='line 5.*"q1" again'):
             parse_scenario(HEAD + line + line)
@@ -48,7 +48,7 @@
 
 
 class TestParseScenario:
-    """Statements become values."""
+    """Statements are converted to the data model."""
 
     def test_numbers_repeated_requests_and_keeps_their_times(self):
         scenario = parse_scenario(
--- a/tests/replay/test_scenario_page.py
+++ b/tests/replay/test_scenario_page.py
@@ -1,4 +1,4 @@
-"""The page on the scenario language, run: every example, and every statement."""
+"""Tests that run all examples of the documentation of the scenario language."""
 
 import re
 from pathlib import Path
@@ -14,12 +14,12 @@
 
 
 def whole(block: str) -> str:
-    """Return an example with the head that it needs."""
+    """Return an example, preceded by the common head if it has none."""
     return block if "scenario " in block else HEAD + block
 
 
 class TestPage:
-    """What the page shows is what the program does."""
+    """The documentation agrees with the program."""
 
     @pytest.mark.parametrize("block", BLOCKS)
     def test_each_example_holds(self, block):
--- a/tests/replay/test_scenarios.py
+++ b/tests/replay/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The repository's scenarios, run; equal runs for equal seeds; what is told."""
+"""Tests of the repository's scenarios, of determinism and of the run command."""
 
 import json
 import os
@@ -23,53 +23,54 @@
     return parse_scenario((FOLDER / f"{name}.scenario").read_text())
 
 
-def broken(report) -> list[tuple[str, str]]:
-    """Return the stated outcomes that did not hold, and what was seen."""
+def failed_expectations(report) -> list[tuple[str, str]]:
+    """Return the expectations that did not hold and what was observed."""
     return [(v.expectation.text, v.seen) for v in report.verdicts if v.seen]
 
 
 class TestScenarios:
-    """Each scenario comes out as it states."""
+    """All expectations of each scenario hold."""
 
     @pytest.mark.parametrize("path", FILES, ids=[path.stem for path in FILES])
     def test_comes_out_as_stated(self, path):
         report = run_scenario(parse_scenario(path.read_text()))
         assert report.verdicts
-        assert broken(report) == []
+        assert failed_expectations(report) == []
 
 
 class TestStatedOutcomes:
-    """A stated outcome can fail: what it watches over is really watched."""
+    """Expectations fail if the behaviour that they check is broken."""
 
     def test_a_lost_plan_set_is_seen(self):
-        """An entry dies while it relays a plan set, and no node holds a copy.
+        """An entry is killed while it relays a plan set, and no node holds a replica.
 
-        The caller is left without the rest of its answer. With the copy the same
-        scenario holds, so the statements are what tells the two runs apart.
+        The caller does not receive the rest of the response. With a replica the same
+        scenario holds, so the expectations distinguish the two runs.
         """
         safeguards = Safeguards(standby_copy=False)
         report = run_scenario(read("entry-killed"), safeguards=safeguards)
-        assert "by 16s r1 is answered whole" in dict(broken(report))
+        assert "by 16s r1 is answered whole" in dict(failed_expectations(report))
 
     def test_a_false_refusal_is_seen(self):
-        """A booking runs, its answer is late, and its caller asks a leaving entry.
+        """A booking is executed, its response is late, and its caller retries.
 
-        That entry refuses it as "not run" without closing the first attempt, which
-        stands in the ledger: the caller was told a thing that is not true.
+        The retry reaches a draining entry, which refuses it as ``not_run`` without
+        closing the first attempt. That attempt is in the ledger, so the refusal is
+        false.
         """
         safeguards = Safeguards(close_attempts=False)
         report = run_scenario(read("leaving-entry"), safeguards=safeguards)
-        assert "expect no refused booking ran" in dict(broken(report))
+        assert "expect no refused booking ran" in dict(failed_expectations(report))
 
 
 class TestEqualRuns:
-    """Equal seeds give equal decisions, in every process."""
+    """Equal seeds give equal decisions in every process."""
 
     def test_same_seed_gives_the_same_decisions_in_another_process(self):
-        """Two processes hash text differently, and draw other keys for messages.
+        """Two processes hash strings differently and generate different message keys.
 
-        Neither may reach a decision: the digest covers each line of the log with its
-        virtual time, so one task that ran earlier would change it.
+        Neither may affect a decision. The digest covers each line of the log with its
+        virtual time, so a single task that ran earlier would change it.
         """
         report = run_scenario(read("death-in-reclaim"))
         path = FOLDER / "death-in-reclaim.scenario"
@@ -97,7 +98,7 @@
 
 
 class TestRunCommand:
-    """What a person sees of the command."""
+    """Output and exit codes of the command."""
 
     def test_a_broken_outcome_is_printed_with_its_line(self, tmp_path):
         path = tmp_path / "wrong.scenario"
--- a/tests/replay/test_traces.py
+++ b/tests/replay/test_traces.py
@@ -1,4 +1,4 @@
-"""Tests of traces: generated, read, run against their outcomes, compared."""
+"""Tests of generating, reading, running and comparing traces."""
 
 import json
 from pathlib import Path
@@ -54,11 +54,11 @@
 
 
 class TestGenerateTrace:
-    """Traces come from their seed alone and look like the users' work."""
+    """Traces depend only on their seed and resemble the users' load."""
 
     @pytest.mark.parametrize("name", sorted(MIXES))
     def test_the_stored_trace_is_the_one_of_its_seed(self, name, tmp_path):
-        """A generator that changes would let the stored traces grow stale."""
+        """A change of the generator would leave the stored traces outdated."""
         path = tmp_path / "trace.jsonl"
         write_trace(path, generate_trace(name, seed=1, duration_s=15.0))
         assert path.read_text() == (FOLDER / f"{name}.jsonl").read_text()
@@ -86,10 +86,10 @@
 
 
 class TestReadTrace:
-    """A mistake in a trace is told by its line."""
+    """An error in a trace gives the line."""
 
     @pytest.mark.parametrize(
-        ("change", "told"),
+        ("change", "message"),
         [
             ({"kind": "letter"}, "line 2: found 'letter'"),
             ({"service": "brief-writer"}, "line 2: found 'booking' for 'brief-writer'"),
@@ -97,17 +97,17 @@
             ({"colour": 1}, "line 2: found 'colour', expected time_s, customer"),
         ],
     )
-    def test_names_the_line(self, tmp_path, change, told):
+    def test_names_the_line(self, tmp_path, change, message):
         path = small_trace(tmp_path / "trace.jsonl")
         first, second, *rest = path.read_text().splitlines()
         second = json.dumps({**json.loads(second), **change})
         path.write_text("\n".join([first, second, *rest]))
-        with pytest.raises(TraceError, match=told):
+        with pytest.raises(TraceError, match=message):
             read_trace(path)
 
 
 class TestRunTrace:
-    """A trace runs against its stated outcomes."""
+    """Runs of a trace are checked against its expected outcomes."""
 
     @pytest.mark.parametrize("name", sorted(MIXES))
     def test_the_stored_trace_comes_out_as_stated(self, name):
@@ -118,11 +118,11 @@
         assert [(v.expectation.text, v.seen) for v in report.verdicts if v.seen] == []
 
     def test_counts_what_was_computed_and_paid(self, tmp_path):
-        """The second plan set finds its builder's beginning in the cache.
+        """The second plan set finds the shared prefix of its builder in the cache.
 
-        So 640 of its 701 tokens (with the role) are not computed: 20 whole blocks of
-        32. Only the engine has a price, and nothing is reclaimed, so the cost is its
-        price times the length of the run.
+        Therefore 640 of its 701 tokens (with the role), which are 20 full blocks of
+        32, are not prefilled. Only the engine has a price and nothing is reclaimed,
+        so the cost is its price multiplied by the duration of the run.
         """
         path = small_trace(tmp_path / "trace.jsonl")
         scenario = traced_scenario(read_trace(path), OUTCOMES)
--- a/tests/scripts/test_soak.py
+++ b/tests/scripts/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak with fixed seeds: real processes, faults from outside."""
+"""Runs the soak with fixed seeds: real node processes and external faults."""
 
 import json
 import subprocess
@@ -9,16 +9,20 @@
 
 SOAK = Path(__file__).parents[2] / "scripts" / "soak.py"
 SEEDS = (290016, 290017)
-BOUND_S = 120
+SOAK_TIMEOUT_S = 120
 
 
 class TestSoak:
     @pytest.mark.parametrize("seed", SEEDS)
     def test_seed(self, seed, tmp_path):
         command = [sys.executable, SOAK, "--seed", str(seed)]
-        done = subprocess.run(
-            command, cwd=tmp_path, capture_output=True, text=True, timeout=BOUND_S
+        completed = subprocess.run(
+            command,
+            cwd=tmp_path,
+            capture_output=True,
+            text=True,
+            timeout=SOAK_TIMEOUT_S,
         )
-        told = json.loads(done.stdout.splitlines()[-1])
-        assert told["violations"] == 0, done.stdout
-        assert done.returncode == 0 and told["seeds"] == 1
+        summary = json.loads(completed.stdout.splitlines()[-1])
+        assert summary["violations"] == 0, completed.stdout
+        assert completed.returncode == 0 and summary["seeds"] == 1
