--- a/scripts/mixed_builds.py
+++ b/scripts/mixed_builds.py
@@ -443,6 +443,12 @@
             await self.wait_for(client, f"http://{node.callers}/readyz")
 
 
+def unanswered(demo: Demo) -> str:
+    """Return kind, outcome and reason of each request without a response."""
+    found = [request for request in demo.requests if request.outcome != "answered"]
+    return "".join(f"; {r.kind.name}: {r.outcome} ({r.reason})" for r in found)
+
+
 async def run_demo(checks: Checks, mix: str, roots: tuple[Path, Path]) -> None:
     """Run the demo with the nodes of each zone from both builds.
 
@@ -463,6 +469,7 @@
             detail = (
                 f"{summary.answered} of {summary.requests} answered, lost "
                 f"{summary.lost}, twice {summary.ran_twice}, crossed {summary.crossed}"
+                f"{unanswered(demo)}"
             )
         except* (RuntimeError, httpx.HTTPError) as errors:
             detail = str(errors.exceptions[0])
