--- a/src/rosemaryknot/process/gateway_quota.py
+++ b/src/rosemaryknot/process/gateway_quota.py
@@ -33,8 +33,8 @@
 # Reports are sent every quarter second; through hubs, three of them follow one another.
 HEADROOM_S = 0.4
 HUB_HEADROOM_S = 0.8
-# Share of the burst that is counted, in addition to the rate, as acquired before a
-# restart. With the whole burst, no request would be admitted for a third of a second.
+# Share of the burst that a gateway counts, in addition to the rate, as acquired before
+# its start. With the whole burst, it would admit no request for a third of a second.
 ASSUMED_BURST_SHARE = 0.9
 # Bounds on the time after which refused callers are told to retry.
 MIN_WAIT_S = 0.1
@@ -234,7 +234,8 @@
     ) -> None:
         """Count the usage that another gateway reports."""
         account = self.account(limit, now_s)
-        # A restarted gateway has already assumed the usage before its start.
+        # A gateway that started after the system's first start has already assumed the
+        # usage before its own start.
         is_new_here = (
             node not in account.limit_usage.sources and not self.is_first_start
         )
--- a/src/rosemaryknot/process/scaling_duty.py
+++ b/src/rosemaryknot/process/scaling_duty.py
@@ -34,7 +34,7 @@
 # or its servers were reclaimed.
 EXHAUSTED_ZONE_TTL_S = 4.0
 # How long a smaller demand must last before servers are released, in seconds: longer
-# than a gap between two bursts of traffic, shorter than half a wave.
+# than a gap between two bursts, shorter than half a wave of traffic.
 SCALE_DOWN_DELAY_S = 8.0
 # Headroom above the measured work, for bursts and for load that is not yet reported.
 HEADROOM_FACTOR = 1.5
